--- a/mulberrywalk/core/absence.py
+++ b/mulberrywalk/core/absence.py
@@ -13,11 +13,13 @@
 from . import advice, fleet, identity, job, resource, state
 
 # Users count lasting work as lost after 3 s without a run while there is room.
-NOTED_MS = 2000
+REPORT_AFTER_MS = 2000
 # Users count room only where the work fits so often.
-ROOM = 2
+MIN_FREE_SLOTS = 2
 # Ends that prove a start which was not reported.
-PROOFS = frozenset((job.EndReason.COMPLETED, job.EndReason.FAILED))
+REASONS_PROVING_START = frozenset(
+    (job.EndReason.COMPLETED, job.EndReason.FAILED)
+)
 
 _Needs = tuple[str, str, resource.Resources]
 
@@ -25,15 +27,15 @@
 class Stage(enum.Enum):
     """What has to come next before a task runs again."""
 
-    DELAYED = 'retry delayed'
+    RETRY_DELAYED = 'retry delayed'
     NO_ROOM = 'no target has room'
     NO_ALLOWED_ROOM = 'no allowed target has room'
-    ASKING = 'adviser has not answered'
+    AWAITING_ADVICE = 'adviser has not answered'
     QUEUED = 'waits for its turn'
-    UNCONFIRMED = 'start unconfirmed'
-    STOPPING = 'stop unconfirmed'
+    START_UNCONFIRMED = 'start unconfirmed'
+    STOP_UNCONFIRMED = 'stop unconfirmed'
     # The target is silent: the work may run there or not.
-    UNPROVED = 'end unproved on a silent target'
+    TARGET_SILENT = 'end unproved on a silent target'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,7 +47,7 @@
     the live one, or None. runs counts the attempts, unstarted those of the
     latest that ended without a start; last is the last that has ended. room
     tells how often the task fits on the open targets of its pool, whatever
-    the adviser says; it is counted up to ROOM.
+    the adviser says; it is counted up to MIN_FREE_SLOTS.
     """
 
     task: job.Task
@@ -53,17 +55,17 @@
     since: int
     stage_since: int
     attempt: job.Attempt | None
-    runs: int
-    unstarted: int
-    last: job.AttemptRecord | None
-    room: int
+    attempt_count: int
+    unstarted_count: int
+    last_ended: job.AttemptRecord | None
+    free_slots: int
 
     def has_room(self) -> bool:
         """Return whether the task could run, as the users count."""
-        return self.room >= ROOM
+        return self.free_slots >= MIN_FREE_SLOTS
 
 
-def find(tables: state.State, now: int, over_ms: int) -> list[Absence]:
+def find_absences(tables: state.State, now: int, over_ms: int) -> list[Absence]:
     """Return the lasting tasks absent for longer, the longest first.
 
     now is the time for events, which passes while no event comes. Tasks of
@@ -81,7 +83,7 @@
     return sorted(found, key=lambda one: (one.since, one.task.task))
 
 
-def since_of(tables: state.State, task: job.Task) -> int:
+def absent_since(tables: state.State, task: job.Task) -> int:
     """Return since when a lasting task that waits or is placed is absent.
 
     A run counts until it was lost, not until the proof of its end. Of a task
@@ -89,7 +91,7 @@
     attempt that is.
     """
     for ended in reversed(task.history):
-        if has_run(ended):
+        if had_started(ended):
             return ended.lost_at or ended.ended_at
     if not task.history:
         return task.waiting_since
@@ -112,9 +114,9 @@
     return max(silence.heard_at(), attempt.started_at)
 
 
-def has_run(ended: job.AttemptRecord) -> bool:
+def had_started(ended: job.AttemptRecord) -> bool:
     """Return whether an ended attempt had started."""
-    return bool(ended.started_at) or ended.reason in PROOFS
+    return bool(ended.started_at) or ended.reason in REASONS_PROVING_START
 
 
 class _Absences:
@@ -138,7 +140,7 @@
         if task.state is job.TaskState.RUNNING and task.attempt is not None:
             attempt = self._tables.attempts[task.attempt]
             return lost_at(self._tables, attempt)
-        return since_of(self._tables, task)
+        return absent_since(self._tables, task)
 
     def describe(self, task: job.Task, since: int) -> Absence:
         """Return what is known of a task that is absent."""
@@ -164,15 +166,15 @@
     ) -> tuple[Stage, int]:
         if attempt is None:
             if task.not_before > self._now:
-                return Stage.DELAYED, task.waiting_since
+                return Stage.RETRY_DELAYED, task.waiting_since
             step = self._tables.steps[task.step_id()]
             return self._waiting_stage(step), task.waiting_since
         silent_since = self._silent_since.get(attempt.target)
         if silent_since is not None:
-            return Stage.UNPROVED, max(silent_since, attempt.placed_at)
+            return Stage.TARGET_SILENT, max(silent_since, attempt.placed_at)
         if attempt.stopping is not None:
-            return Stage.STOPPING, attempt.lost_at or attempt.placed_at
-        return Stage.UNCONFIRMED, attempt.placed_at
+            return Stage.STOP_UNCONFIRMED, attempt.lost_at or attempt.placed_at
+        return Stage.START_UNCONFIRMED, attempt.placed_at
 
     def _waiting_stage(self, step: job.Step) -> Stage:
         stage = self._stages.get(step.step)
@@ -188,14 +190,14 @@
         record = self._tables.jobs[step.job]
         if record.specification.advice is None:
             return Stage.QUEUED
-        valid = advice.find_valid(self._tables, step)
+        valid = advice.find_valid_tickets(self._tables, step)
         if any(load.target in valid for load in room):
             return Stage.QUEUED
         barred = set(step.barred)
         if all(load.target in barred for load in room):
             return Stage.NO_ALLOWED_ROOM
-        if advice.is_asking(self._tables, step):
-            return Stage.ASKING
+        if advice.is_request_pending(self._tables, step):
+            return Stage.AWAITING_ADVICE
         return Stage.QUEUED
 
     def _room_of(self, step: job.Step) -> list[fleet.TargetLoad]:
@@ -227,14 +229,14 @@
 
     def _count_room(self, step: job.Step) -> int:
         needs = self._tables.step_specification(step)
-        twice = resource.multiply(needs.demand(), ROOM)
+        twice = resource.multiply(needs.demand(), MIN_FREE_SLOTS)
         room = 0
         for load in self._room_of(step):
             is_wide = resource.fits(twice, load.free) and not load.is_probed
             left = self._left_on(step, needs, load)
-            room += min(left, ROOM if is_wide else 1)
-            if room >= ROOM:
-                return ROOM
+            room += min(left, MIN_FREE_SLOTS if is_wide else 1)
+            if room >= MIN_FREE_SLOTS:
+                return MIN_FREE_SLOTS
         return room
 
     def _left_on(
@@ -245,7 +247,7 @@
     ) -> int:
         """Return how many more of a step its limit allows on a target."""
         if not needs.per_target_limit:
-            return ROOM
+            return MIN_FREE_SLOTS
         loads = self._tables.step_loads.get(step.step)
         present = loads[load.target] if loads else 0
         return max(0, needs.per_target_limit - present)
@@ -284,7 +286,7 @@
 def _count_unstarted(task: job.Task) -> int:
     count = 0
     for ended in reversed(task.history):
-        if has_run(ended):
+        if had_started(ended):
             return count
         count += 1
     return count
--- a/mulberrywalk/core/absence_test.py
+++ b/mulberrywalk/core/absence_test.py
@@ -29,10 +29,10 @@
 
 
 def find(cell, over_ms=-1):
-    found = absence.find(cell.tables, cell.now, over_ms)
+    found = absence.find_absences(cell.tables, cell.now, over_ms)
     # A replica that was restored finds the same.
     restored = snapshot.decode(snapshot.encode(cell.tables))
-    assert absence.find(restored, cell.now, over_ms) == found
+    assert absence.find_absences(restored, cell.now, over_ms) == found
     return found
 
 
@@ -65,14 +65,14 @@
     found = cell_test.only(find(cell, 2000))
     assert found == absence.Absence(
         task=cell.tables.tasks[f'{NAME}.0.0.0'],
-        stage=absence.Stage.UNCONFIRMED,
+        stage=absence.Stage.START_UNCONFIRMED,
         since=began_at,
         stage_since=began_at + 100,
         attempt=attempt_of(cell),
-        runs=1,
-        unstarted=0,
-        last=None,
-        room=absence.ROOM,
+        attempt_count=1,
+        unstarted_count=0,
+        last_ended=None,
+        free_slots=absence.MIN_FREE_SLOTS,
     )
     cell.start(attempt_of(cell))
     assert not find(cell)
@@ -88,10 +88,10 @@
         cell.dispatch(1000)
         cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
     found = find_one(cell)
-    assert found.stage is absence.Stage.DELAYED
+    assert found.stage is absence.Stage.RETRY_DELAYED
     assert found.since == lost_at
-    assert (found.runs, found.unstarted) == (3, 2)
-    assert found.last.attempt == f'{NAME}.0.0.0/3'
+    assert (found.attempt_count, found.unstarted_count) == (3, 2)
+    assert found.last_ended.attempt == f'{NAME}.0.0.0/3'
     cell.dispatch(1000)
     assert find_one(cell).since == lost_at
 
@@ -116,7 +116,7 @@
         cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
     found = find_one(cell)
     assert found.since == found.task.history[0].placed_at
-    assert found.unstarted == len(found.task.history)
+    assert found.unstarted_count == len(found.task.history)
 
 
 def test_only_lasting_tasks_are_absent():
@@ -170,7 +170,7 @@
         1, millicores, is_lasting=True, per_target_limit=limit
     )
     submit(cell, step)
-    assert find_one(cell).room == room
+    assert find_one(cell).free_slots == room
 
 
 def test_room_on_other_pools_and_closed_targets_does_not_count():
@@ -184,7 +184,7 @@
     session = cell.tables.targets['t2'].session
     cell.apply(event.DepartureAnnounced, session)
     found = find_one(cell)
-    assert (found.room, found.stage) == (0, absence.Stage.NO_ROOM)
+    assert (found.free_slots, found.stage) == (0, absence.Stage.NO_ROOM)
 
 
 def test_limit_on_each_target_leaves_no_room():
@@ -198,11 +198,11 @@
     submit(cell, advice=TERMS)
     assert find_one(cell).stage is absence.Stage.QUEUED
     cell.dispatch()
-    assert find_one(cell).stage is absence.Stage.ASKING
+    assert find_one(cell).stage is absence.Stage.AWAITING_ADVICE
     advise(cell, 't1')
     assert find_one(cell).stage is absence.Stage.QUEUED
     cell.dispatch()
-    assert find_one(cell).stage is absence.Stage.UNCONFIRMED
+    assert find_one(cell).stage is absence.Stage.START_UNCONFIRMED
 
 
 def test_room_that_the_adviser_does_not_allow_is_named():
@@ -222,7 +222,7 @@
     cell.now += 3000
     cell.apply(event.SilenceNoted, attempt_of(cell).session, 1200)
     found = find_one(cell)
-    assert found.stage is absence.Stage.UNPROVED
+    assert found.stage is absence.Stage.TARGET_SILENT
     assert found.stage_since == cell.now - 1200
 
 
@@ -233,7 +233,7 @@
     session = attempt_of(cell).session
     cell.apply(event.SilenceNoted, session, 1200)
     found = find_one(cell)
-    assert found.stage is absence.Stage.UNPROVED
+    assert found.stage is absence.Stage.TARGET_SILENT
     assert found.since == cell.now - 1200
     assert not found.has_room()
     cell.apply(event.SilenceNoted, session, 0)
@@ -269,7 +269,7 @@
     submit(cell)
     cell.dispatch()
     cell.apply(event.DepartureAnnounced, attempt_of(cell).session)
-    assert find_one(cell).stage is absence.Stage.STOPPING
+    assert find_one(cell).stage is absence.Stage.STOP_UNCONFIRMED
 
 
 def be_born(cell, born_at):
@@ -290,7 +290,7 @@
     be_born(cell, 200)
     cell.now += 3000
     found = find_one(cell)
-    assert found.stage is absence.Stage.STOPPING
+    assert found.stage is absence.Stage.STOP_UNCONFIRMED
     assert (found.since, found.stage_since) == (lost_at, lost_at)
     cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
     assert find_one(cell).since == lost_at
--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -55,9 +55,9 @@
     record = _create_job(tables, submitted)
     tables.jobs[record.job] = record
     tables.requests[request] = record.job
-    lifecycle.count_pending(tables, record, 1)
+    lifecycle.adjust_pending(tables, record, 1)
     if specification.kind is job.Kind.WORKFLOW:
-        workflow.begin(tables, record)
+        workflow.schedule_first_occurrence(tables, record)
     for number, _ in enumerate(specification.tasks):
         queueing.wait(tables, _create_task(record, number))
     tables.emit(
@@ -81,7 +81,7 @@
         record = msgspec.structs.replace(record, is_cancelled=True)
         tables.jobs[record.job] = record
         for task in lifecycle.tasks_of(tables, record):
-            lifecycle.call_off(tables, task, job.StopReason.CANCELLED)
+            lifecycle.cancel_task(tables, task, job.StopReason.CANCELLED)
         workflow.drop_occurrences(tables, record.job)
     return outcome.Cancelled(record.job, tables.jobs[record.job].state)
 
--- a/mulberrywalk/core/advice.py
+++ b/mulberrywalk/core/advice.py
@@ -11,19 +11,19 @@
 
 from . import effect, event, fleet, identity, job, outcome, resource, state
 
-MOST_ASKED = 30
+MAX_TARGETS_PER_REQUEST = 30
 # A ticket is not used so shortly before it lapses: the start has to arrive.
-MARGIN_MS = 500
+TICKET_MARGIN_MS = 500
 _PATIENCE_MS = 1500
 _ASK_AGAIN_MS = 250
 _US_PER_MS = 1000
 
 
-def find_valid(
+def find_valid_tickets(
     tables: state.State, step: job.Step
 ) -> dict[identity.TargetId, str]:
     """Return the tickets that can be used now, by target."""
-    usable_until = tables.time + MARGIN_MS
+    usable_until = tables.time + TICKET_MARGIN_MS
     return {
         ticket.target: ticket.ticket
         for ticket in step.tickets
@@ -32,7 +32,7 @@
     }
 
 
-def ask(
+def request_advice(
     tables: state.State, step: job.Step, suitable: list[fleet.TargetLoad]
 ) -> None:
     """Ask about targets without a valid ticket, unless a question is open.
@@ -43,7 +43,7 @@
     """
     record = tables.jobs[step.job]
     terms = record.specification.advice
-    if terms is None or is_asking(tables, step):
+    if terms is None or is_request_pending(tables, step):
         return
     chosen = _choose(tables, step, suitable)
     if not chosen:
@@ -59,7 +59,7 @@
     )
 
 
-def receive(
+def record_answer(
     tables: state.State, received: event.AdviceReceived
 ) -> outcome.Outcome:
     """Keep what the adviser allows; nothing asked means that it failed."""
@@ -108,7 +108,7 @@
 def _choose(
     tables: state.State, step: job.Step, suitable: list[fleet.TargetLoad]
 ) -> tuple[identity.TargetId, ...]:
-    valid = find_valid(tables, step)
+    valid = find_valid_tickets(tables, step)
     barred = set(step.barred)
     known = {ticket.target for ticket in step.tickets}
     needs = tables.step_specification(step)
@@ -140,7 +140,7 @@
             load.target,
         ),
     )
-    return tuple(load.target for load in ordered[:MOST_ASKED])
+    return tuple(load.target for load in ordered[:MAX_TARGETS_PER_REQUEST])
 
 
 def _count_room(
@@ -155,20 +155,20 @@
     return min(room, needs.per_target_limit - present)
 
 
-def is_asking(tables: state.State, step: job.Step) -> bool:
+def is_request_pending(tables: state.State, step: job.Step) -> bool:
     """Return whether a question is open, or the next one not yet due."""
     terms = tables.jobs[step.job].specification.advice
     if terms is None:
         return False
     if tables.time < step.ask_after:
         return True
-    patience = longest_ms(terms) + _PATIENCE_MS
+    patience = max_answer_ms(terms) + _PATIENCE_MS
     return bool(step.asked_at) and tables.time < step.asked_at + patience
 
 
-def longest_ms(terms: job.AdviceTerms) -> int:
+def max_answer_ms(terms: job.AdviceTerms) -> int:
     """Return what the answer to the largest question takes, in milliseconds."""
-    return _expected_ms(terms, MOST_ASKED)
+    return _expected_ms(terms, MAX_TARGETS_PER_REQUEST)
 
 
 def _expected_ms(terms: job.AdviceTerms, count: int) -> int:
--- a/mulberrywalk/core/confirmation.py
+++ b/mulberrywalk/core/confirmation.py
@@ -13,26 +13,26 @@
 from . import job, lifecycle, state, workflow
 
 # From the placement; the least that a member waits for the others is 3 s.
-GANG_PATIENCE_MS = 1800
+GANG_START_TIMEOUT_MS = 1800
 # Beyond the first two times that the order is given.
-PATIENCE_MS = 2500
+START_TIMEOUT_MS = 2500
 
 
-def is_due(tables: state.State, now: int) -> bool:
+def has_overdue_start(tables: state.State, now: int) -> bool:
     """Return whether a start has not been confirmed by this time."""
     waiting = tables.unconfirmed
-    return bool(waiting) and waiting[0][0] + GANG_PATIENCE_MS <= now
+    return bool(waiting) and waiting[0][0] + GANG_START_TIMEOUT_MS <= now
 
 
-def review(tables: state.State) -> None:
+def stop_overdue_starts(tables: state.State) -> None:
     """Stop what has not started in time; a gang as a whole.
 
     What is on a silent target is left alone: it may run, and its end is known
     when the target is heard again or its lease has run out.
     """
-    if not is_due(tables, tables.time):
+    if not has_overdue_start(tables, tables.time):
         return
-    placed_until = (tables.time - GANG_PATIENCE_MS + 1, '')
+    placed_until = (tables.time - GANG_START_TIMEOUT_MS + 1, '')
     late = tables.unconfirmed.irange(
         maximum=placed_until, inclusive=(True, False)
     )
@@ -45,9 +45,9 @@
     step = tables.steps[task.step_id()]
     waited_ms = tables.time - _waits_since(tables, attempt)
     if tables.step_specification(step).is_gang:
-        if waited_ms >= GANG_PATIENCE_MS:
+        if waited_ms >= GANG_START_TIMEOUT_MS:
             _stop_gang(tables, step)
-    elif waited_ms >= PATIENCE_MS and not _is_silent(tables, attempt):
+    elif waited_ms >= START_TIMEOUT_MS and not _is_silent(tables, attempt):
         lifecycle.stop(tables, attempt, job.StopReason.UNCONFIRMED)
 
 
--- a/mulberrywalk/core/confirmation_test.py
+++ b/mulberrywalk/core/confirmation_test.py
@@ -26,7 +26,7 @@
     attempts = list(cell.tables.attempts.values())
     for attempt in attempts[:2]:
         cell.start(attempt)
-    assert not stopped(cell.dispatch(confirmation.GANG_PATIENCE_MS - 1))
+    assert not stopped(cell.dispatch(confirmation.GANG_START_TIMEOUT_MS - 1))
     effects = cell.dispatch(1)
     assert len(stopped(effects)) == 3
     assert not stopped(cell.dispatch(1000))
@@ -40,7 +40,7 @@
 def test_a_gang_that_has_come_together_is_left_alone(cell):
     for attempt in list(cell.tables.attempts.values()):
         cell.start(attempt)
-    assert not stopped(cell.dispatch(10 * confirmation.GANG_PATIENCE_MS))
+    assert not stopped(cell.dispatch(10 * confirmation.GANG_START_TIMEOUT_MS))
 
 
 def test_a_restored_state_knows_which_gangs_come_together(cell):
@@ -61,7 +61,7 @@
 def test_an_unanswered_start_does_not_hold_a_task_for_good():
     cell = lasting_cell()
     first = cell_test.only(cell.tables.attempts.values())
-    assert not stopped(cell.dispatch(confirmation.PATIENCE_MS - 1))
+    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS - 1))
     assert stopped(cell.dispatch(1)) == [first.attempt]
     cell.report(first, job.EndReason.NEVER_STARTED)
     cell.dispatch(1000)
@@ -73,18 +73,18 @@
     cell = lasting_cell()
     attempt = cell_test.only(cell.tables.attempts.values())
     cell.apply(event.SilenceNoted, attempt.session, 1400)
-    assert not stopped(cell.dispatch(confirmation.PATIENCE_MS))
+    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS))
     cell.apply(event.SilenceNoted, attempt.session, 0)
-    assert not stopped(cell.dispatch(confirmation.PATIENCE_MS - 1))
+    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS - 1))
     assert stopped(cell.dispatch(1)) == [attempt.attempt]
 
 
 def test_a_new_leader_gives_a_start_its_time_anew():
     cell = lasting_cell()
     attempt = cell_test.only(cell.tables.attempts.values())
-    cell.now += 10 * confirmation.PATIENCE_MS
+    cell.now += 10 * confirmation.START_TIMEOUT_MS
     cell.apply(event.LeadershipBegun)
-    assert not stopped(cell.dispatch(confirmation.PATIENCE_MS - 1))
+    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS - 1))
     restored = snapshot.decode(snapshot.encode(cell.tables))
     assert restored.led_from == cell.tables.led_from
     assert stopped(cell.dispatch(1)) == [attempt.attempt]
@@ -96,7 +96,7 @@
     first = cell_test.only(cell.tables.attempts.values())
     end = job.EndReason.REFUSED
     if reason == 'unconfirmed':
-        cell.dispatch(confirmation.PATIENCE_MS)
+        cell.dispatch(confirmation.START_TIMEOUT_MS)
         end = job.EndReason.NEVER_STARTED
     cell.report(first, end)
     cell.dispatch(1000)
@@ -124,7 +124,7 @@
         if 't0' not in {one.target for one in attempts}:
             return
         start_all_but(cell, 't0')
-        cell.dispatch(confirmation.GANG_PATIENCE_MS)
+        cell.dispatch(confirmation.GANG_START_TIMEOUT_MS)
         for attempt in attempts:
             cell.report(attempt, job.EndReason.NEVER_STARTED)
         cell.dispatch(1000)
@@ -139,7 +139,7 @@
     cell.dispatch()
     attempts = list(cell.tables.attempts.values())
     assert len(attempts) == 9
-    cell.dispatch(confirmation.PATIENCE_MS)
+    cell.dispatch(confirmation.START_TIMEOUT_MS)
     for attempt in attempts:
         cell.report(attempt, job.EndReason.NEVER_STARTED)
     cell.dispatch(1000)
@@ -150,7 +150,7 @@
     cell = lasting_cell(targets=1)
     for _ in range(3):
         attempt = cell_test.only(cell.tables.attempts.values())
-        cell.dispatch(confirmation.PATIENCE_MS)
+        cell.dispatch(confirmation.START_TIMEOUT_MS)
         cell.report(attempt, job.EndReason.NEVER_STARTED)
         cell.dispatch(1000)
         again = cell_test.only(cell.tables.attempts.values())
--- a/mulberrywalk/core/dispatch.py
+++ b/mulberrywalk/core/dispatch.py
@@ -72,7 +72,7 @@
     ]
     for name in heads:
         if name in tables.waiting.steps:
-            workflow.put_back(tables, identity.StepId(name))
+            workflow.demote_if_worthless(tables, identity.StepId(name))
 
 
 def _serve_queues(tables: state.State) -> None:
--- a/mulberrywalk/core/duration.py
+++ b/mulberrywalk/core/duration.py
@@ -31,7 +31,7 @@
     if attempt.started_at:
         told['started_ms_ago'] = tables.time - attempt.started_at
     else:
-        is_proof = ended.reason in absence.PROOFS
+        is_proof = ended.reason in absence.REASONS_PROVING_START
         told['started'] = 'unseen' if is_proof else 'never'
     if attempt.stopping is not None:
         told['stopping'] = attempt.stopping.value
@@ -52,4 +52,4 @@
     """Return for how long a task that lasts has not run."""
     if task.task not in tables.absent:
         return {}
-    return {'absent_ms': tables.time - absence.since_of(tables, task)}
+    return {'absent_ms': tables.time - absence.absent_since(tables, task)}
--- a/mulberrywalk/core/foresight.py
+++ b/mulberrywalk/core/foresight.py
@@ -35,7 +35,7 @@
     for name in steps:
         if name in tables.steps and _is_wanted(tables, name, over_at):
             usable = staging.find_usable(tables, name)
-            advice.ask(tables, tables.steps[name], usable)
+            advice.request_advice(tables, tables.steps[name], usable)
 
 
 def _ends_at(tables: state.State, session: identity.SessionId) -> int:
@@ -53,5 +53,7 @@
     terms = tables.jobs[step.job].specification.advice
     if terms is None or not tables.step_specification(step).is_lasting:
         return False
-    asked_from = over_at - advice.longest_ms(terms) - _WAY_MS
-    return tables.time >= asked_from and not advice.find_valid(tables, step)
+    asked_from = over_at - advice.max_answer_ms(terms) - _WAY_MS
+    return tables.time >= asked_from and not advice.find_valid_tickets(
+        tables, step
+    )
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -41,15 +41,15 @@
 )
 
 
-def call_off(
+def cancel_task(
     tables: state.State, task: job.Task, reason: job.StopReason
 ) -> None:
     """End a task that has not started, and stop one that is live."""
     if task.state is job.TaskState.BLOCKED:
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.state is job.TaskState.WAITING:
         queueing.stop_waiting(tables, task)
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.attempt is not None:
         stop(tables, tables.attempts[task.attempt], reason)
 
@@ -92,7 +92,7 @@
     trace(tables, 'placed', attempt, duration.of_wait(tables, task))
 
 
-def start(tables: state.State, started: event.AttemptStart) -> None:
+def record_start(tables: state.State, started: event.AttemptStart) -> None:
     """Record that a target has confirmed a start."""
     attempt = tables.attempts.get(started.attempt)
     if attempt is None or attempt.started_at:
@@ -112,7 +112,9 @@
     trace(tables, 'started', attempt, told)
 
 
-def save(tables: state.State, saved: event.AttemptCheckpoint) -> None:
+def record_checkpoint(
+    tables: state.State, saved: event.AttemptCheckpoint
+) -> None:
     """Keep what a running attempt has saved, for the next one."""
     task = tables.tasks[tables.attempts[saved.attempt].task]
     if task.state not in job.FINAL_TASK_STATES:
@@ -133,7 +135,7 @@
     trace(tables, 'stopping', stopped, reason.value)
 
 
-def end(tables: state.State, ended: event.AttemptEnd) -> None:
+def record_end(tables: state.State, ended: event.AttemptEnd) -> None:
     """Record the known end of an attempt and decide what follows."""
     attempt = tables.attempts.get(ended.attempt)
     if attempt is None:
@@ -147,20 +149,22 @@
         _set_job_running(tables, task.job)
     specification = tables.specification(task)
     if specification.kind is job.Kind.WORKFLOW:
-        workflow.end_attempt(tables, task, attempt, ended)
+        workflow.handle_attempt_end(tables, task, attempt, ended)
         return
     is_service = specification.kind is job.Kind.SERVICE
     if ended.reason is job.EndReason.COMPLETED and not is_service:
-        finish(tables, task, job.TaskState.COMPLETED)
+        finish_task(tables, task, job.TaskState.COMPLETED)
     elif tables.jobs[task.job].is_cancelled:
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif _may_run_again(specification, ended.reason):
         _try_again(tables, task, attempt, ended.reason)
     else:
-        finish(tables, task, _final_state(ended.reason))
+        finish_task(tables, task, _final_state(ended.reason))
 
 
-def finish(tables: state.State, task: job.Task, final: job.TaskState) -> None:
+def finish_task(
+    tables: state.State, task: job.Task, final: job.TaskState
+) -> None:
     """Give a task its final state, and its job when it was the last."""
     tables.tasks[task.task] = msgspec.structs.replace(
         task, state=final, ended_at=tables.time, attempt=None
@@ -184,7 +188,7 @@
     ]
 
 
-def count_pending(tables: state.State, record: job.Job, change: int) -> None:
+def adjust_pending(tables: state.State, record: job.Job, change: int) -> None:
     """Change how many jobs of a queue have not begun."""
     queue = record.specification.queue
     if queue:
@@ -331,7 +335,7 @@
         # What never started has not taken the target down.
         task = msgspec.structs.replace(task, losses=task.losses + 1)
     if retry.is_exhausted(tables, task):
-        finish(tables, task, job.TaskState.FAILED)
+        finish_task(tables, task, job.TaskState.FAILED)
         return
     queueing.wait_again(tables, task, not_before)
 
@@ -345,7 +349,7 @@
 def _set_job_running(tables: state.State, identifier: identity.JobId) -> None:
     record = tables.jobs[identifier]
     if record.state is job.JobState.QUEUED:
-        count_pending(tables, record, -1)
+        adjust_pending(tables, record, -1)
         tables.jobs[identifier] = msgspec.structs.replace(
             record, state=job.JobState.RUNNING
         )
@@ -358,7 +362,7 @@
         states.add(job.TaskState.CANCELLED)
     worst = next(one for one in _WORST_FIRST if one in states)
     if record.state is job.JobState.QUEUED:
-        count_pending(tables, record, -1)
+        adjust_pending(tables, record, -1)
     tables.jobs[record.job] = msgspec.structs.replace(
         record, state=_FINAL_STATES[worst], ended_at=tables.time
     )
--- a/mulberrywalk/core/reducer.py
+++ b/mulberrywalk/core/reducer.py
@@ -62,7 +62,7 @@
 def _depart(
     tables: state.State, occurred: event.DepartureAnnounced
 ) -> outcome.Outcome:
-    return session.depart(tables, occurred.session, occurred.remaining_ms)
+    return session.drain(tables, occurred.session, occurred.remaining_ms)
 
 
 def _resume(
@@ -75,13 +75,13 @@
 def _note_silence(
     tables: state.State, occurred: event.SilenceNoted
 ) -> outcome.Outcome:
-    return session.note_silence(tables, occurred.session, occurred.quiet_ms)
+    return session.record_silence(tables, occurred.session, occurred.quiet_ms)
 
 
 def _report(
     tables: state.State, occurred: event.ReportReceived
 ) -> outcome.Outcome:
-    recorded = session.report(tables, occurred)
+    recorded = session.record_report(tables, occurred)
     usage.correct(tables, occurred)
     return recorded
 
@@ -89,7 +89,7 @@
 def _pass_time(
     tables: state.State, occurred: event.TimePassed
 ) -> outcome.Outcome:
-    confirmation.review(tables)
+    confirmation.stop_overdue_starts(tables)
     dispatch.run(tables)
     foresight.review(tables)
     return outcome.Recorded()
@@ -108,7 +108,7 @@
             event.ReportReceived: _report,
             event.ConfigurationPatched: amendment.patch,
             event.ConfigurationReplaced: amendment.replace,
-            event.AdviceReceived: advice.receive,
+            event.AdviceReceived: advice.record_answer,
             event.TimePassed: _pass_time,
         }
     )
--- a/mulberrywalk/core/reducer_test.py
+++ b/mulberrywalk/core/reducer_test.py
@@ -146,7 +146,9 @@
         assert restored.waiting == live.waiting
         assert restored.fleet.loads == live.fleet.loads
         now = self.cell.now
-        assert absence.find(restored, now, 0) == absence.find(live, now, 0)
+        assert absence.find_absences(restored, now, 0) == absence.find_absences(
+            live, now, 0
+        )
         assert snapshot.encode(restored) == snapshot.encode(live)
         self.cell.tables = restored
 
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -78,7 +78,7 @@
         return
     session = tables.sessions[identifier]
     for attempt in sorted(tables.by_session.get(identifier, ())):
-        lifecycle.end(
+        lifecycle.record_end(
             tables,
             event.AttemptEnd(attempt, job.EndReason.SESSION_LOST, tables.time),
         )
@@ -92,7 +92,7 @@
     _close_target(tables, session)
 
 
-def depart(
+def drain(
     tables: state.State,
     identifier: identity.SessionId,
     remaining_ms: int | None = None,
@@ -120,7 +120,7 @@
     return outcome.Recorded()
 
 
-def note_silence(
+def record_silence(
     tables: state.State, identifier: identity.SessionId, quiet_ms: int
 ) -> outcome.Outcome:
     """Place nothing on a target that is silent, until it is heard again."""
@@ -140,7 +140,7 @@
     return outcome.Recorded()
 
 
-def report(
+def record_report(
     tables: state.State, received: event.ReportReceived
 ) -> outcome.Outcome:
     """Record starts and ends that a target reports for its session.
@@ -150,9 +150,9 @@
     """
     if received.session not in tables.sessions:
         return _gone(received.session)
-    _record_each(tables, received, received.started, lifecycle.start)
-    _record_each(tables, received, received.saved, lifecycle.save)
-    _record_each(tables, received, received.ended, lifecycle.end)
+    _record_each(tables, received, received.started, lifecycle.record_start)
+    _record_each(tables, received, received.saved, lifecycle.record_checkpoint)
+    _record_each(tables, received, received.ended, lifecycle.record_end)
     if received.ended:
         names = tuple(one.attempt for one in received.ended)
         tables.emit(effect.AcknowledgeEnds(received.session, names))
@@ -222,12 +222,12 @@
         tables.addresses[record.address] = record.target
     kinds = set(tables.fleet.capacities)
     tables.targets[record.target] = record
-    install_load(tables, record)
+    index_target(tables, record)
     if set(tables.fleet.capacities) != kinds:
         _review_waiting(tables)
 
 
-def install_load(tables: state.State, record: target.Target) -> None:
+def index_target(tables: state.State, record: target.Target) -> None:
     """Enter a target into the index, with what its attempts hold."""
     old = tables.fleet.loads.get(record.target)
     attempts = old.attempts if old else set()
--- a/mulberrywalk/core/snapshot.py
+++ b/mulberrywalk/core/snapshot.py
@@ -103,7 +103,7 @@
     for opened in tables.sessions.values():
         tables.session_counts[opened.target] += 1
     for record in tables.targets.values():
-        session.install_load(tables, record)
+        session.index_target(tables, record)
         if record.address:
             tables.addresses[record.address] = record.target
         if record.health.until > tables.time:
@@ -119,9 +119,9 @@
         if record.unfinished == 0:
             tables.finished.add((record.ended_at, record.job))
         elif specification.kind is job.Kind.WORKFLOW:
-            workflow.schedule(tables, record)
+            workflow.schedule_next_occurrence(tables, record)
         if record.state is job.JobState.QUEUED:
-            lifecycle.count_pending(tables, record, 1)
+            lifecycle.adjust_pending(tables, record, 1)
 
 
 def _index_tasks(tables: state.State) -> None:
--- a/mulberrywalk/core/staging.py
+++ b/mulberrywalk/core/staging.py
@@ -53,7 +53,7 @@
     step = tables.steps[name]
     needs = tables.step_specification(step)
     is_unadvised = bool(step.asked_at) and not step.tickets
-    if is_unadvised and advice.is_asking(tables, step):
+    if is_unadvised and advice.is_request_pending(tables, step):
         return False
     if next(tables.fleet.roomiest(needs.demand()), None) is None:
         return False
@@ -67,7 +67,9 @@
     else:
         count = _place_each(tables, started, numbers)
     if count < len(numbers):
-        advice.ask(tables, tables.steps[name], find_usable(tables, name))
+        advice.request_advice(
+            tables, tables.steps[name], find_usable(tables, name)
+        )
     return count > 0
 
 
@@ -93,7 +95,7 @@
     tickets: dict[identity.TargetId, str] = {}
     candidates = suitable
     if tables.jobs[step.job].specification.advice is not None:
-        tickets = advice.find_valid(tables, step)
+        tickets = advice.find_valid_tickets(tables, step)
         candidates = [load for load in suitable if load.target in tickets]
     return Round(step, needs, needs.demand(), candidates, tickets)
 
@@ -154,7 +156,7 @@
     numbers: list[int],
     chosen: list[fleet.TargetLoad],
 ) -> None:
-    run = workflow.runs_of(tables, started.step) + 1
+    run = workflow.highest_attempt_number(tables, started.step) + 1
     members = [_task(tables, started.step, number) for number in numbers]
     # What any member has saved holds for all, and all have to carry the same.
     saved = next((one.checkpoint for one in members if one.checkpoint), '')
--- a/mulberrywalk/core/staging_test.py
+++ b/mulberrywalk/core/staging_test.py
@@ -42,5 +42,5 @@
     cell.dispatch(1_000_000)
     step = identity.StepId(f'{"0" * 16}.0.0')
     assert cell.now > cell.tables.steps[step].worthless_at
-    assert not workflow.put_back(cell.tables, step)
+    assert not workflow.demote_if_worthless(cell.tables, step)
     assert cell.tables.steps[step].order < cell.tables.steps[step].worthless_at
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -101,9 +101,9 @@
     return None
 
 
-def begin(tables: state.State, record: job.Job) -> None:
+def schedule_first_occurrence(tables: state.State, record: job.Job) -> None:
     """Release the first occurrence of a job, or schedule it."""
-    schedule(tables, record)
+    schedule_next_occurrence(tables, record)
     release_due(tables)
 
 
@@ -114,7 +114,7 @@
         _, name = tables.due.pop(0)
         record = tables.jobs[name]
         _release(tables, record)
-        schedule(tables, tables.jobs[name])
+        schedule_next_occurrence(tables, tables.jobs[name])
 
 
 def drop_occurrences(tables: state.State, name: identity.JobId) -> None:
@@ -132,7 +132,7 @@
         lifecycle.finish_job(tables, record)
 
 
-def schedule(tables: state.State, record: job.Job) -> None:
+def schedule_next_occurrence(tables: state.State, record: job.Job) -> None:
     """Note when the next occurrence of a job is due, if there is one."""
     is_ended = record.is_cancelled or record.is_abandoned
     occurrences = record.specification.count_occurrences()
@@ -165,7 +165,7 @@
     return [tables.tasks[_task_id(step.step, index)] for index in range(count)]
 
 
-def end_attempt(
+def handle_attempt_end(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
@@ -178,12 +178,12 @@
     if _is_completed(needs, step, attempt, ended.reason):
         _complete(tables, task, attempt, needs)
     elif record.is_cancelled or record.is_abandoned:
-        lifecycle.finish(tables, task, job.TaskState.CANCELLED)
+        lifecycle.finish_task(tables, task, job.TaskState.CANCELLED)
     else:
         _run_again(tables, task, attempt, ended)
 
 
-def put_back(tables: state.State, name: identity.StepId) -> bool:
+def demote_if_worthless(tables: state.State, name: identity.StepId) -> bool:
     """Let a step wait behind others once its job is worth nothing.
 
     It is not given up: whatever was accepted is run. Lasting work is worth
@@ -206,7 +206,7 @@
     return True
 
 
-def runs_of(tables: state.State, step: job.Step) -> int:
+def highest_attempt_number(tables: state.State, step: job.Step) -> int:
     """Return the highest attempt number of any task of a step."""
     numbers = (task.attempts for task in members_of(tables, step))
     return max(itertools.chain(numbers, (0,)))
@@ -298,7 +298,7 @@
         took_ms = tables.time - attempt.started_at
         estimate.learn(tables, queue, attempt.target, took_ms)
     tables.steps[step.step] = step
-    lifecycle.finish(tables, task, job.TaskState.COMPLETED)
+    lifecycle.finish_task(tables, task, job.TaskState.COMPLETED)
     if step.unfinished == 0:
         speed.learn(tables, step, members_of(tables, step))
         _unblock(tables, step)
@@ -337,7 +337,7 @@
         tables.tasks[task.task] = task
         _break_gang(tables, task, attempt, ended.reason)
     if _is_exhausted(tables, task):
-        lifecycle.finish(tables, task, job.TaskState.FAILED)
+        lifecycle.finish_task(tables, task, job.TaskState.FAILED)
         _abandon(tables, task.job)
         return
     queueing.wait_again(tables, task, _restart_at(tables, task, ended.reason))
@@ -406,7 +406,7 @@
     record = msgspec.structs.replace(record, is_abandoned=True)
     tables.jobs[name] = record
     for task in tasks_of(tables, record):
-        lifecycle.call_off(tables, task, job.StopReason.ABANDONED)
+        lifecycle.cancel_task(tables, task, job.StopReason.ABANDONED)
     drop_occurrences(tables, name)
 
 
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -205,7 +205,9 @@
         is_due = (
             bool(waiting.queues)
             or self._is_timer_due()
-            or confirmation.is_due(self._engine.tables, self._engine.time())
+            or confirmation.has_overdue_start(
+                self._engine.tables, self._engine.time()
+            )
             or foresight.is_due(self._engine.tables)
         )
         if is_due and now - self._dispatched_at >= _DISPATCH_MS:
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -90,7 +90,7 @@
         'with_room': len(with_room),
         'barred': len(step.barred),
         'tickets': len(step.tickets),
-        'valid': len(advice.find_valid(tables, step)),
+        'valid': len(advice.find_valid_tickets(tables, step)),
         'asked_ms_ago': step.asked_at and tables.time - step.asked_at,
     }
     shown = ' '.join(f'{name}={count}' for name, count in counts.items())
--- a/mulberrywalk/replica/watch.py
+++ b/mulberrywalk/replica/watch.py
@@ -33,7 +33,9 @@
     def review(self) -> None:
         """Look at the tasks as they are now."""
         now = self._engine.time()
-        found = absence.find(self._engine.tables, now, absence.NOTED_MS)
+        found = absence.find_absences(
+            self._engine.tables, now, absence.REPORT_AFTER_MS
+        )
         self._gauge(found, now)
         for place, absent in enumerate(found[:_LINES], start=1):
             detail = _tell(absent, now)
@@ -66,13 +68,13 @@
     told: dict[str, int | str] = {
         'ms': now - absent.since,
         'stage_ms': now - absent.stage_since,
-        'runs': absent.runs,
-        'unstarted': absent.unstarted,
-        'room': absent.room,
+        'runs': absent.attempt_count,
+        'unstarted': absent.unstarted_count,
+        'room': absent.free_slots,
     }
-    last = absent.last
+    last = absent.last_ended
     if last is not None:
-        started = 'yes' if absence.has_run(last) else 'never'
+        started = 'yes' if absence.had_started(last) else 'never'
         told['last'] = last.reason.value
         told['last_target'] = last.target
         told['last_started'] = started
