--- a/mulberrywalk/core/absence.py
+++ b/mulberrywalk/core/absence.py
@@ -1,8 +1,8 @@
-"""Lasting tasks that do not run: since when, and at which stage they are.
+"""Finds lasting tasks that are not running, since when, and why.
 
-The load that this answers: many tasks, some of which last, while targets are
-lost, fall silent and leave starts without an answer. Only tasks that are
-absent, and what runs on silent targets, are looked at.
+Only absent tasks and tasks on silent targets are inspected, so that a scan
+stays cheap when there are many tasks while targets are lost, fall silent or
+leave starts unconfirmed.
 """
 
 from __future__ import annotations
@@ -12,20 +12,21 @@
 
 from . import advice, fleet, identity, job, resource, state
 
-# Users count lasting work as lost after 3 s without a run while there is room.
+# Users count lasting work as lost when it has not run for 3 s although there
+# is room for it, so absences are reported before that.
 REPORT_AFTER_MS = 2000
-# Users count room only where the work fits so often.
+# Users count a task as having room only if it fits at least this many times.
 MIN_FREE_SLOTS = 2
-# Ends that prove a start which was not reported.
+# End reasons that prove a start even if it was never reported.
 REASONS_PROVING_START = frozenset(
     (job.EndReason.COMPLETED, job.EndReason.FAILED)
 )
 
-_Needs = tuple[str, str, resource.Resources]
+_FitKey = tuple[str, str, resource.Resources]
 
 
 class Stage(enum.Enum):
-    """What has to come next before a task runs again."""
+    """What an absent task is waiting for."""
 
     RETRY_DELAYED = 'retry delayed'
     NO_ROOM = 'no target has room'
@@ -34,20 +35,22 @@
     QUEUED = 'waits for its turn'
     START_UNCONFIRMED = 'start unconfirmed'
     STOP_UNCONFIRMED = 'stop unconfirmed'
-    # The target is silent: the work may run there or not.
+    # The task may or may not be running on the silent target.
     TARGET_SILENT = 'end unproved on a silent target'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Absence:
-    """A lasting task that does not run; times in milliseconds since 1970.
-
-    since is when it last ran or was first to run, stage_since when it began
-    to wait or was placed, or its silent target was last heard. attempt is
-    the live one, or None. runs counts the attempts, unstarted those of the
-    latest that ended without a start; last is the last that has ended. room
-    tells how often the task fits on the open targets of its pool, whatever
-    the adviser says; it is counted up to MIN_FREE_SLOTS.
+    """A lasting task that is not running; times in milliseconds since 1970.
+
+    since is when the task last ran or, if it never has, when it was due to
+    run first. stage_since is when it began to wait, when it was placed, or
+    when its silent target was last heard from. attempt is the live attempt,
+    or None. attempt_count counts all attempts, unstarted_count the most
+    recent ones in a row that ended without a start; last_ended is the most
+    recent attempt that has ended. free_slots is how many times the task fits
+    on the open targets of its pool, regardless of the adviser, counted up to
+    MIN_FREE_SLOTS.
     """
 
     task: job.Task
@@ -61,24 +64,27 @@
     free_slots: int
 
     def has_room(self) -> bool:
-        """Return whether the task could run, as the users count."""
+        """Return whether users would count the task as having room."""
         return self.free_slots >= MIN_FREE_SLOTS
 
 
-def find_absences(tables: state.State, now: int, over_ms: int) -> list[Absence]:
-    """Return the lasting tasks absent for longer, the longest first.
+def find_absences(
+    tables: state.State, now: int, longer_than_ms: int
+) -> list[Absence]:
+    """Return lasting tasks absent for longer than a time, longest first.
 
-    now is the time for events, which passes while no event comes. Tasks of
-    jobs that are called off are left out.
+    now is the current time in milliseconds since 1970; it may be later than
+    the latest event's. Tasks of cancelled or abandoned jobs are left out.
     """
-    silent_since = _find_silent(tables)
-    absences = _Absences(tables, now, silent_since)
-    names = tables.absent | _find_unproved(tables, silent_since)
+    silent_since = _find_silent_targets(tables)
+    scan = _AbsenceScan(tables, now, silent_since)
+    names = tables.absent | _find_tasks_on_silent_targets(tables, silent_since)
     found = [
-        absences.describe(tables.tasks[name], since)
+        scan.describe(tables.tasks[name], since)
         for name in names
-        if _is_wanted(tables, tables.tasks[name])
-        and now - (since := absences.begin_of(tables.tasks[name])) > over_ms
+        if _is_job_active(tables, tables.tasks[name])
+        and now - (since := scan.absence_start(tables.tasks[name]))
+        > longer_than_ms
     ]
     return sorted(found, key=lambda one: (one.since, one.task.task))
 
@@ -86,9 +92,9 @@
 def absent_since(tables: state.State, task: job.Task) -> int:
     """Return since when a lasting task that waits or is placed is absent.
 
-    A run counts until it was lost, not until the proof of its end. Of a task
-    whose last run is no longer kept, it is the placement of the oldest
-    attempt that is.
+    A run counts until contact with it was lost, not until its end was
+    confirmed. If the history no longer holds the last run, the result is
+    when the oldest attempt in the history was placed.
     """
     for ended in reversed(task.history):
         if had_started(ended):
@@ -102,9 +108,10 @@
 
 
 def lost_at(tables: state.State, attempt: job.Attempt) -> int:
-    """Return from when on a started attempt is not known to run, or zero.
+    """Return since when a started attempt may not be running, or zero.
 
-    Its target has been silent since, or another life of it is there.
+    The target fell silent or was restarted; the time is when it was last
+    heard from before that, or that of the start if it is later.
     """
     if not attempt.started_at or attempt.lost_at:
         return attempt.lost_at
@@ -119,8 +126,8 @@
     return bool(ended.started_at) or ended.reason in REASONS_PROVING_START
 
 
-class _Absences:
-    """One look at the absent tasks; what holds for many is found once."""
+class _AbsenceScan:
+    """One scan of the absent tasks; caches what many of them share."""
 
     def __init__(
         self,
@@ -131,11 +138,11 @@
         self._tables = tables
         self._now = now
         self._silent_since = silent_since
-        self._fitting: dict[_Needs, list[fleet.TargetLoad]] = {}
-        self._rooms: dict[identity.StepId, list[fleet.TargetLoad]] = {}
-        self._stages: dict[identity.StepId, Stage] = {}
+        self._fitting_targets: dict[_FitKey, list[fleet.TargetLoad]] = {}
+        self._roomy_targets: dict[identity.StepId, list[fleet.TargetLoad]] = {}
+        self._waiting_stages: dict[identity.StepId, Stage] = {}
 
-    def begin_of(self, task: job.Task) -> int:
+    def absence_start(self, task: job.Task) -> int:
         """Return since when a task is absent."""
         if task.state is job.TaskState.RUNNING and task.attempt is not None:
             attempt = self._tables.attempts[task.attempt]
@@ -143,11 +150,11 @@
         return absent_since(self._tables, task)
 
     def describe(self, task: job.Task, since: int) -> Absence:
-        """Return what is known of a task that is absent."""
+        """Return the description of an absent task."""
         attempt = None
         if task.attempt is not None:
             attempt = self._tables.attempts[task.attempt]
-        stage, stage_since = self._stage_of(task, attempt)
+        stage, stage_since = self._find_stage(task, attempt)
         step = self._tables.steps[task.step_id()]
         return Absence(
             task,
@@ -156,12 +163,12 @@
             stage_since,
             attempt,
             task.attempts,
-            _count_unstarted(task),
+            _count_trailing_unstarted(task),
             task.history[-1] if task.history else None,
-            self._count_room(step),
+            self._count_free_slots(step),
         )
 
-    def _stage_of(
+    def _find_stage(
         self, task: job.Task, attempt: job.Attempt | None
     ) -> tuple[Stage, int]:
         if attempt is None:
@@ -177,84 +184,86 @@
         return Stage.START_UNCONFIRMED, attempt.placed_at
 
     def _waiting_stage(self, step: job.Step) -> Stage:
-        stage = self._stages.get(step.step)
+        stage = self._waiting_stages.get(step.step)
         if stage is None:
             stage = self._find_waiting_stage(step)
-            self._stages[step.step] = stage
+            self._waiting_stages[step.step] = stage
         return stage
 
     def _find_waiting_stage(self, step: job.Step) -> Stage:
-        room = self._room_of(step)
-        if not room:
+        roomy = self._targets_with_room(step)
+        if not roomy:
             return Stage.NO_ROOM
         record = self._tables.jobs[step.job]
         if record.specification.advice is None:
             return Stage.QUEUED
         valid = advice.find_valid_tickets(self._tables, step)
-        if any(load.target in valid for load in room):
+        if any(load.target in valid for load in roomy):
             return Stage.QUEUED
         barred = set(step.barred)
-        if all(load.target in barred for load in room):
+        if all(load.target in barred for load in roomy):
             return Stage.NO_ALLOWED_ROOM
         if advice.is_request_pending(self._tables, step):
             return Stage.AWAITING_ADVICE
         return Stage.QUEUED
 
-    def _room_of(self, step: job.Step) -> list[fleet.TargetLoad]:
-        """Return the open targets that could take one more of a step."""
-        room = self._rooms.get(step.step)
-        if room is None:
-            room = self._find_room(step)
-            self._rooms[step.step] = room
-        return room
+    def _targets_with_room(self, step: job.Step) -> list[fleet.TargetLoad]:
+        """Return the open targets with room for one more task of a step."""
+        roomy = self._roomy_targets.get(step.step)
+        if roomy is None:
+            roomy = self._find_targets_with_room(step)
+            self._roomy_targets[step.step] = roomy
+        return roomy
 
-    def _find_room(self, step: job.Step) -> list[fleet.TargetLoad]:
+    def _find_targets_with_room(self, step: job.Step) -> list[fleet.TargetLoad]:
         needs = self._tables.step_specification(step)
         record = self._tables.jobs[step.job]
         pool = record.specification.pool
         key = (pool, needs.label, needs.demand())
-        if key not in self._fitting:
-            self._fitting[key] = [
+        if key not in self._fitting_targets:
+            self._fitting_targets[key] = [
                 load
                 for load in self._tables.fleet.roomiest(needs.demand())
                 if load.is_meant_for(pool, needs.label)
             ]
         if not needs.per_target_limit:
-            return self._fitting[key]
+            return self._fitting_targets[key]
         return [
             load
-            for load in self._fitting[key]
-            if self._left_on(step, needs, load)
+            for load in self._fitting_targets[key]
+            if self._remaining_on(step, needs, load)
         ]
 
-    def _count_room(self, step: job.Step) -> int:
+    def _count_free_slots(self, step: job.Step) -> int:
         needs = self._tables.step_specification(step)
-        twice = resource.multiply(needs.demand(), MIN_FREE_SLOTS)
-        room = 0
-        for load in self._room_of(step):
-            is_wide = resource.fits(twice, load.free) and not load.is_probed
-            left = self._left_on(step, needs, load)
-            room += min(left, MIN_FREE_SLOTS if is_wide else 1)
-            if room >= MIN_FREE_SLOTS:
+        required = resource.multiply(needs.demand(), MIN_FREE_SLOTS)
+        slots = 0
+        for load in self._targets_with_room(step):
+            is_sufficient = (
+                resource.fits(required, load.free) and not load.is_probed
+            )
+            remaining = self._remaining_on(step, needs, load)
+            slots += min(remaining, MIN_FREE_SLOTS if is_sufficient else 1)
+            if slots >= MIN_FREE_SLOTS:
                 return MIN_FREE_SLOTS
-        return room
+        return slots
 
-    def _left_on(
+    def _remaining_on(
         self,
         step: job.Step,
         needs: job.StepSpecification,
         load: fleet.TargetLoad,
     ) -> int:
-        """Return how many more of a step its limit allows on a target."""
+        """Return how many more tasks of a step its limit allows on a target."""
         if not needs.per_target_limit:
             return MIN_FREE_SLOTS
         loads = self._tables.step_loads.get(step.step)
-        present = loads[load.target] if loads else 0
-        return max(0, needs.per_target_limit - present)
+        live_count = loads[load.target] if loads else 0
+        return max(0, needs.per_target_limit - live_count)
 
 
-def _find_silent(tables: state.State) -> dict[identity.TargetId, int]:
-    """Return the silent targets, and when each was last heard."""
+def _find_silent_targets(tables: state.State) -> dict[identity.TargetId, int]:
+    """Return when each silent target was last heard from."""
     return {
         record.target: record.silence.heard_at()
         for record in tables.targets.values()
@@ -262,10 +271,10 @@
     }
 
 
-def _find_unproved(
+def _find_tasks_on_silent_targets(
     tables: state.State, silent: dict[identity.TargetId, int]
 ) -> set[identity.TaskId]:
-    """Return the lasting tasks that are said to run on silent targets."""
+    """Return the lasting tasks with a started attempt on a silent target."""
     attempts = (
         tables.attempts[name]
         for target in silent
@@ -278,12 +287,12 @@
     }
 
 
-def _is_wanted(tables: state.State, task: job.Task) -> bool:
+def _is_job_active(tables: state.State, task: job.Task) -> bool:
     record = tables.jobs[task.job]
     return not (record.is_cancelled or record.is_abandoned)
 
 
-def _count_unstarted(task: job.Task) -> int:
+def _count_trailing_unstarted(task: job.Task) -> int:
     count = 0
     for ended in reversed(task.history):
         if had_started(ended):
--- a/mulberrywalk/core/advice.py
+++ b/mulberrywalk/core/advice.py
@@ -1,8 +1,8 @@
-"""Questions to the adviser of a queue, and what its answers allow.
+"""Requests to the adviser of a queue, and the tickets that it grants.
 
-The load that this answers: queues whose policy lets a step run only on some
-targets, told by an adviser whose answer takes long and soon lapses. A step
-that waits for an answer holds up no other.
+The policy of a queue may let a step run only on some targets. An adviser
+decides which; its answers are slow and expire soon. A step that waits for an
+answer does not block other steps.
 """
 
 from __future__ import annotations
@@ -12,49 +12,51 @@
 from . import effect, event, fleet, identity, job, outcome, resource, state
 
 MAX_TARGETS_PER_REQUEST = 30
-# A ticket is not used so shortly before it lapses: the start has to arrive.
+# Tickets that expire sooner than this are not used, because the start has to
+# reach the target before the ticket expires.
 TICKET_MARGIN_MS = 500
-_PATIENCE_MS = 1500
-_ASK_AGAIN_MS = 250
+_ANSWER_GRACE_MS = 1500
+_RETRY_DELAY_MS = 250
 _US_PER_MS = 1000
 
 
 def find_valid_tickets(
     tables: state.State, step: job.Step
 ) -> dict[identity.TargetId, str]:
-    """Return the tickets that can be used now, by target."""
+    """Return the tickets that are usable now, by target."""
     usable_until = tables.time + TICKET_MARGIN_MS
     return {
         ticket.target: ticket.ticket
         for ticket in step.tickets
         if ticket.expires_at > usable_until
-        and _session_of(tables, ticket.target) == ticket.session
+        and _current_session(tables, ticket.target) == ticket.session
     }
 
 
 def request_advice(
     tables: state.State, step: job.Step, suitable: list[fleet.TargetLoad]
 ) -> None:
-    """Ask about targets without a valid ticket, unless a question is open.
+    """Ask about targets without a valid ticket, unless a request is pending.
 
-    suitable are the targets that the step could run on but for the advice and
-    the room. Those known to be allowed are asked first, for their answer is
-    sure, and alone if they hold all that waits.
+    suitable lists the targets that the step could run on, leaving aside
+    advice and free capacity. Among the targets with equal room, those that
+    were allowed before come first, because they will be allowed again; if
+    they can hold all waiting tasks, no others are asked about.
     """
     record = tables.jobs[step.job]
     terms = record.specification.advice
     if terms is None or is_request_pending(tables, step):
         return
-    chosen = _choose(tables, step, suitable)
-    if not chosen:
+    targets = _choose_targets(tables, step, suitable)
+    if not targets:
         return
-    expected_ms = _expected_ms(terms, len(chosen))
+    expected_ms = _expected_answer_ms(terms, len(targets))
     tables.steps[step.step] = msgspec.structs.replace(
         step, asked_at=tables.time
     )
     tables.emit(
         effect.AskAdvice(
-            step.step, chosen, record.specification.urgency, expected_ms
+            step.step, targets, record.specification.urgency, expected_ms
         )
     )
 
@@ -62,7 +64,10 @@
 def record_answer(
     tables: state.State, received: event.AdviceReceived
 ) -> outcome.Outcome:
-    """Keep what the adviser allows; nothing asked means that it failed."""
+    """Record which targets the adviser allows.
+
+    An answer about no targets means that the request failed.
+    """
     step = tables.steps.get(received.step)
     if step is None:
         return outcome.Recorded()
@@ -78,13 +83,13 @@
     tickets.extend(
         job.Ticket(target, session, text, expires_at)
         for target, text in received.allowed
-        if (session := _session_of(tables, target)) is not None
+        if (session := _current_session(tables, target)) is not None
     )
     barred = (answered - allowed) | set(step.barred)
     tables.steps[step.step] = msgspec.structs.replace(
         step,
         asked_at=0,
-        ask_after=0 if answered else tables.time + _ASK_AGAIN_MS,
+        ask_after=0 if answered else tables.time + _RETRY_DELAY_MS,
         tickets=tuple(tickets),
         barred=tuple(sorted(barred)),
     )
@@ -93,24 +98,24 @@
         effect.Trace(
             'advised',
             job=step.job,
-            detail=f'{step.step}: {counts} {_tell_question(tables, step)}',
+            detail=f'{step.step}: {counts} {_format_request_age(tables, step)}',
         )
     )
     return outcome.Recorded()
 
 
-def _tell_question(tables: state.State, step: job.Step) -> str:
-    """Return how long ago a question was asked, zero for one given up."""
-    asked_ms = step.asked_at and tables.time - step.asked_at
-    return effect.detail({'asked_ms_ago': asked_ms})
+def _format_request_age(tables: state.State, step: job.Step) -> str:
+    """Return the age of the request, zero if it is no longer open."""
+    request_age_ms = step.asked_at and tables.time - step.asked_at
+    return effect.detail({'asked_ms_ago': request_age_ms})
 
 
-def _choose(
+def _choose_targets(
     tables: state.State, step: job.Step, suitable: list[fleet.TargetLoad]
 ) -> tuple[identity.TargetId, ...]:
     valid = find_valid_tickets(tables, step)
     barred = set(step.barred)
-    known = {ticket.target for ticket in step.tickets}
+    previously_allowed = {ticket.target for ticket in step.tickets}
     needs = tables.step_specification(step)
     demand = needs.demand()
     candidates = [
@@ -123,19 +128,21 @@
     ]
     if not with_room:
         return ()
-    room = sum(
-        _count_room(tables, step, load)
+    slots = sum(
+        _count_fitting_tasks(tables, step, load)
         for load in with_room
-        if load.target in known
+        if load.target in previously_allowed
     )
-    if room >= len(tables.waiting.steps.get(step.step, ())):
-        # Who is allowed never changes.
-        candidates = [load for load in candidates if load.target in known]
+    if slots >= len(tables.waiting.steps.get(step.step, ())):
+        # The set of targets that an adviser allows never changes.
+        candidates = [
+            load for load in candidates if load.target in previously_allowed
+        ]
     ordered = sorted(
         candidates,
         key=lambda load: (
             not resource.fits(demand, load.free),
-            load.target not in known,
+            load.target not in previously_allowed,
             -load.free.millicores,
             load.target,
         ),
@@ -143,39 +150,39 @@
     return tuple(load.target for load in ordered[:MAX_TARGETS_PER_REQUEST])
 
 
-def _count_room(
+def _count_fitting_tasks(
     tables: state.State, step: job.Step, load: fleet.TargetLoad
 ) -> int:
-    """Return how many more tasks of a step a target may hold."""
+    """Return how many more tasks of a step a target can take."""
     needs = tables.step_specification(step)
-    room = resource.count_fitting(needs.demand(), load.free, job.MAX_TASKS)
+    slots = resource.count_fitting(needs.demand(), load.free, job.MAX_TASKS)
     if not needs.per_target_limit:
-        return room
-    present = state.count_on(tables, step.step, load.target)
-    return min(room, needs.per_target_limit - present)
+        return slots
+    live_count = state.count_on(tables, step.step, load.target)
+    return min(slots, needs.per_target_limit - live_count)
 
 
 def is_request_pending(tables: state.State, step: job.Step) -> bool:
-    """Return whether a question is open, or the next one not yet due."""
+    """Return whether a request is open or the next one is not due yet."""
     terms = tables.jobs[step.job].specification.advice
     if terms is None:
         return False
     if tables.time < step.ask_after:
         return True
-    patience = max_answer_ms(terms) + _PATIENCE_MS
-    return bool(step.asked_at) and tables.time < step.asked_at + patience
+    timeout_ms = max_answer_ms(terms) + _ANSWER_GRACE_MS
+    return bool(step.asked_at) and tables.time < step.asked_at + timeout_ms
 
 
 def max_answer_ms(terms: job.AdviceTerms) -> int:
-    """Return what the answer to the largest question takes, in milliseconds."""
-    return _expected_ms(terms, MAX_TARGETS_PER_REQUEST)
+    """Return the expected time to answer the largest request, in ms."""
+    return _expected_answer_ms(terms, MAX_TARGETS_PER_REQUEST)
 
 
-def _expected_ms(terms: job.AdviceTerms, count: int) -> int:
+def _expected_answer_ms(terms: job.AdviceTerms, count: int) -> int:
     return terms.decision_ms + terms.per_target_us * count // _US_PER_MS
 
 
-def _session_of(
+def _current_session(
     tables: state.State, name: identity.TargetId
 ) -> identity.SessionId | None:
     record = tables.targets.get(name)
--- a/mulberrywalk/core/confirmation.py
+++ b/mulberrywalk/core/confirmation.py
@@ -1,49 +1,50 @@
-"""Starts that no target confirms are given up before they hold a task up.
-
-The load that this answers: targets that answer looks and carry out no orders,
-and orders that are lost or late, while much lasting work is placed again. An
-attempt holds its task until it is known not to run, so that each stage of the
-way to the next one needs a bound. Members of a gang wait for each other and
-give up by themselves after some seconds; stopped before, they are run again
-together, and sooner.
+"""Stops attempts whose start is not confirmed in time.
+
+A target may answer status requests and yet carry out no orders, and orders
+may be lost or late. An attempt blocks its task until it is known not to run,
+so each step towards the next attempt needs a timeout. Members of a gang wait
+for each other and give up by themselves after some seconds; stopping them
+earlier lets the whole gang run again sooner.
 """
 
 from __future__ import annotations
 
 from . import job, lifecycle, state, workflow
 
-# From the placement; the least that a member waits for the others is 3 s.
+# Counted from the placement. A gang member waits at least 3 s for the others,
+# so a gang is stopped before its members give up.
 GANG_START_TIMEOUT_MS = 1800
-# Beyond the first two times that the order is given.
+# Longer than it takes to send the start order twice.
 START_TIMEOUT_MS = 2500
 
 
 def has_overdue_start(tables: state.State, now: int) -> bool:
-    """Return whether a start has not been confirmed by this time."""
-    waiting = tables.unconfirmed
-    return bool(waiting) and waiting[0][0] + GANG_START_TIMEOUT_MS <= now
+    """Return whether a start may have exceeded its timeout by now."""
+    starts = tables.unconfirmed
+    return bool(starts) and starts[0][0] + GANG_START_TIMEOUT_MS <= now
 
 
 def stop_overdue_starts(tables: state.State) -> None:
-    """Stop what has not started in time; a gang as a whole.
+    """Stop attempts that have not started in time, and their whole gang.
 
-    What is on a silent target is left alone: it may run, and its end is known
-    when the target is heard again or its lease has run out.
+    Except in a gang, attempts on a silent target are left alone: they may be
+    running, and the outcome is known once the target is heard from again or
+    its lease expires.
     """
     if not has_overdue_start(tables, tables.time):
         return
     placed_until = (tables.time - GANG_START_TIMEOUT_MS + 1, '')
-    late = tables.unconfirmed.irange(
+    overdue = tables.unconfirmed.irange(
         maximum=placed_until, inclusive=(True, False)
     )
-    for _, name in list(late):
-        _give_up(tables, tables.attempts[name])
+    for _, name in list(overdue):
+        _stop_if_overdue(tables, tables.attempts[name])
 
 
-def _give_up(tables: state.State, attempt: job.Attempt) -> None:
+def _stop_if_overdue(tables: state.State, attempt: job.Attempt) -> None:
     task = tables.tasks[attempt.task]
     step = tables.steps[task.step_id()]
-    waited_ms = tables.time - _waits_since(tables, attempt)
+    waited_ms = tables.time - _timeout_start(tables, attempt)
     if tables.step_specification(step).is_gang:
         if waited_ms >= GANG_START_TIMEOUT_MS:
             _stop_gang(tables, step)
@@ -51,10 +52,10 @@
         lifecycle.stop(tables, attempt, job.StopReason.UNCONFIRMED)
 
 
-def _waits_since(tables: state.State, attempt: job.Attempt) -> int:
-    """Return from when on a confirmation could have come.
+def _timeout_start(tables: state.State, attempt: job.Attempt) -> int:
+    """Return from when on a confirmation could have arrived.
 
-    Not while nobody led, and not in a silence of the target.
+    None can arrive while there is no leader or while the target is silent.
     """
     changed_at = tables.targets[attempt.target].silence_changed_at
     return max(attempt.placed_at, tables.led_from, changed_at)
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -1,4 +1,4 @@
-"""Transitions of tasks and attempts."""
+"""State transitions of tasks and attempts."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     workflow,
 )
 
-_FAILED_TARGETS_KEPT = 2
-_HISTORY_KEPT = 20
+_MAX_FAILED_TARGETS = 2
+_MAX_HISTORY = 20
 
 _FINAL_STATES = MappingProxyType(
     {
@@ -32,7 +32,7 @@
         job.TaskState.UNKNOWN: job.JobState.UNKNOWN,
     }
 )
-# The state of a job is the worst of its tasks'.
+# A job takes the worst state of its tasks.
 _WORST_FIRST = (
     job.TaskState.UNKNOWN,
     job.TaskState.FAILED,
@@ -44,7 +44,7 @@
 def cancel_task(
     tables: state.State, task: job.Task, reason: job.StopReason
 ) -> None:
-    """End a task that has not started, and stop one that is live."""
+    """Cancel a task that has not started, or stop its live attempt."""
     if task.state is job.TaskState.BLOCKED:
         finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.state is job.TaskState.WAITING:
@@ -62,13 +62,13 @@
     number: int = 0,
     ticket: str = '',
 ) -> None:
-    """Give a waiting task a new attempt on a target.
+    """Place a waiting task on a target as a new attempt.
 
-    The attempt has the next number of the task, or the one that is given.
+    The attempt takes the given number, or by default the task's next one.
     """
     session = tables.targets[load.target].session
     if session is None:
-        raise AssertionError(f'{load.target} is open without a session')
+        raise AssertionError(f'target {load.target} is open without a session')
     queueing.stop_waiting(tables, task)
     number = number or task.attempts + 1
     attempt = job.Attempt(
@@ -93,12 +93,12 @@
 
 
 def record_start(tables: state.State, started: event.AttemptStart) -> None:
-    """Record that a target has confirmed a start."""
+    """Record that a target has confirmed the start of an attempt."""
     attempt = tables.attempts.get(started.attempt)
     if attempt is None or attempt.started_at:
         return
     task = tables.tasks[attempt.task]
-    told = duration.of_start(tables, attempt)
+    detail = duration.of_start(tables, attempt)
     state.replace_attempt(
         tables, msgspec.structs.replace(attempt, started_at=tables.time)
     )
@@ -109,13 +109,13 @@
     )
     tables.absent.discard(task.task)
     _set_job_running(tables, task.job)
-    trace(tables, 'started', attempt, told)
+    trace(tables, 'started', attempt, detail)
 
 
 def record_checkpoint(
     tables: state.State, saved: event.AttemptCheckpoint
 ) -> None:
-    """Keep what a running attempt has saved, for the next one."""
+    """Keep the checkpoint of a running attempt for the next attempt."""
     task = tables.tasks[tables.attempts[saved.attempt].task]
     if task.state not in job.FINAL_TASK_STATES:
         tables.tasks[task.task] = msgspec.structs.replace(
@@ -126,7 +126,7 @@
 def stop(
     tables: state.State, attempt: job.Attempt, reason: job.StopReason
 ) -> None:
-    """Ask the target to stop an attempt; it holds capacity until it has."""
+    """Ask the target to stop an attempt, which holds capacity until it ends."""
     if attempt.stopping is not None:
         return
     stopped = msgspec.structs.replace(attempt, stopping=reason)
@@ -136,15 +136,15 @@
 
 
 def record_end(tables: state.State, ended: event.AttemptEnd) -> None:
-    """Record the known end of an attempt and decide what follows."""
+    """Record the confirmed end of an attempt, then retry or finish its task."""
     attempt = tables.attempts.get(ended.attempt)
     if attempt is None:
         return
     state.remove_attempt(tables, attempt)
-    ended = _limit_answer(tables, attempt, ended)
+    ended = _reject_large_answer(tables, attempt, ended)
     task = _close_attempt(tables, attempt, ended)
     trace(tables, 'ended', attempt, duration.of_end(tables, attempt, ended))
-    _credit(tables, attempt, task, ended.reason)
+    _record_result(tables, attempt, task, ended.reason)
     if ended.reason in {job.EndReason.COMPLETED, job.EndReason.FAILED}:
         _set_job_running(tables, task.job)
     specification = tables.specification(task)
@@ -156,8 +156,8 @@
         finish_task(tables, task, job.TaskState.COMPLETED)
     elif tables.jobs[task.job].is_cancelled:
         finish_task(tables, task, job.TaskState.CANCELLED)
-    elif _may_run_again(specification, ended.reason):
-        _try_again(tables, task, attempt, ended.reason)
+    elif _may_retry(specification, ended.reason):
+        _retry_task(tables, task, attempt, ended.reason)
     else:
         finish_task(tables, task, _final_state(ended.reason))
 
@@ -165,7 +165,7 @@
 def finish_task(
     tables: state.State, task: job.Task, final: job.TaskState
 ) -> None:
-    """Give a task its final state, and its job when it was the last."""
+    """Set the final state of a task, and of its job after the last task."""
     tables.tasks[task.task] = msgspec.structs.replace(
         task, state=final, ended_at=tables.time, attempt=None
     )
@@ -179,7 +179,7 @@
 
 
 def tasks_of(tables: state.State, record: job.Job) -> list[job.Task]:
-    """Return the tasks of a job in order, those that exist so far."""
+    """Return the tasks of a job that exist so far, in order."""
     if record.specification.kind is job.Kind.WORKFLOW:
         return workflow.tasks_of(tables, record)
     count = len(record.specification.tasks)
@@ -189,19 +189,19 @@
 
 
 def adjust_pending(tables: state.State, record: job.Job, change: int) -> None:
-    """Change how many jobs of a queue have not begun."""
+    """Change the count of jobs in a queue that have not started."""
     queue = record.specification.queue
     if queue:
         tables.pending[queue] += change
 
 
 def trace(
-    tables: state.State, what: str, attempt: job.Attempt, detail: str = ''
+    tables: state.State, label: str, attempt: job.Attempt, detail: str = ''
 ) -> None:
-    """Add a line about an attempt to the time line."""
+    """Add an entry about an attempt to the timeline."""
     tables.emit(
         effect.Trace(
-            what,
+            label,
             job=tables.tasks[attempt.task].job,
             task=attempt.task,
             attempt=attempt.attempt,
@@ -226,7 +226,7 @@
         detail=ended.detail or stopping,
         lost_at=absence.lost_at(tables, attempt),
     )
-    # An end that is reported without its start proves the start too.
+    # A reported completion or failure implies a start, even if none was seen.
     started_at = task.first_started_at
     if ended.reason in {job.EndReason.COMPLETED, job.EndReason.FAILED}:
         started_at = started_at or tables.time
@@ -236,7 +236,7 @@
         answer=ended.answer,
         checkpoint=ended.checkpoint or task.checkpoint,
         first_started_at=started_at,
-        history=(*task.history, record)[-_HISTORY_KEPT:],
+        history=(*task.history, record)[-_MAX_HISTORY:],
         used_bytes=_used_bytes(tables, task, attempt),
     )
 
@@ -244,9 +244,9 @@
 def _used_bytes(
     tables: state.State, task: job.Task, attempt: job.Attempt
 ) -> int:
-    """Return the memory to place the task with, zero for what it declares.
+    """Return the memory to place the task with, zero for its declared amount.
 
-    Processor time can be throttled, so only memory is remembered.
+    Processor time can be throttled, so only memory use is remembered.
     """
     held = attempt.held.memory_bytes
     if held <= tables.task_specification(task).memory_bytes:
@@ -254,7 +254,7 @@
     return max(task.used_bytes, held)
 
 
-def _limit_answer(
+def _reject_large_answer(
     tables: state.State, attempt: job.Attempt, ended: event.AttemptEnd
 ) -> event.AttemptEnd:
     specification = tables.specification(tables.tasks[attempt.task])
@@ -269,7 +269,7 @@
     )
 
 
-def _credit(
+def _record_result(
     tables: state.State,
     attempt: job.Attempt,
     task: job.Task,
@@ -283,35 +283,36 @@
             record, completions=record.completions + 1
         )
     elif reason is job.EndReason.FAILED:
-        _blame(tables, attempt, record)
+        _record_failure(tables, attempt, record)
     elif _is_target_at_fault(attempt, reason):
         health.distrust(tables, attempt.target)
 
 
-def _blame(tables: state.State, attempt: job.Attempt, record: job.Job) -> None:
+def _record_failure(
+    tables: state.State, attempt: job.Attempt, record: job.Job
+) -> None:
     failed_on = record.failed_on
     if attempt.target not in failed_on:
-        failed_on = (*failed_on, attempt.target)[:_FAILED_TARGETS_KEPT]
+        failed_on = (*failed_on, attempt.target)[:_MAX_FAILED_TARGETS]
         record = msgspec.structs.replace(record, failed_on=failed_on)
         tables.jobs[record.job] = record
-    # A job that fails wherever it runs says nothing about its targets.
+    # A job that has failed on several targets and never completed says nothing
+    # about the targets.
     is_job_at_fault = (
-        record.completions == 0 and len(failed_on) >= _FAILED_TARGETS_KEPT
+        record.completions == 0 and len(failed_on) >= _MAX_FAILED_TARGETS
     )
     if not is_job_at_fault:
         health.record_failure(tables, attempt.target)
 
 
 def _is_target_at_fault(attempt: job.Attempt, reason: job.EndReason) -> bool:
-    """Return whether a target has not carried out a start, whatever it was."""
+    """Return whether the target failed to carry out or refused a start."""
     is_unconfirmed = attempt.stopping is job.StopReason.UNCONFIRMED
     is_unstarted = reason is job.EndReason.NEVER_STARTED and is_unconfirmed
     return is_unstarted or reason is job.EndReason.REFUSED
 
 
-def _may_run_again(
-    specification: job.Specification, reason: job.EndReason
-) -> bool:
+def _may_retry(specification: job.Specification, reason: job.EndReason) -> bool:
     if reason in job.UNSTARTED:
         return True
     if reason is job.EndReason.ANSWER_TOO_LARGE:
@@ -319,7 +320,7 @@
     return specification.is_idempotent
 
 
-def _try_again(
+def _retry_task(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
@@ -332,7 +333,7 @@
             tables, tables.specification(task).team, task.failures
         )
     elif reason is job.EndReason.SESSION_LOST and attempt.started_at:
-        # What never started has not taken the target down.
+        # An attempt that never started cannot have caused the loss.
         task = msgspec.structs.replace(task, losses=task.losses + 1)
     if retry.is_exhausted(tables, task):
         finish_task(tables, task, job.TaskState.FAILED)
@@ -356,11 +357,11 @@
 
 
 def finish_job(tables: state.State, record: job.Job) -> None:
-    """Give a job of which every task has ended its final state."""
+    """Set the final state of a job whose tasks have all ended."""
     states = {task.state for task in tasks_of(tables, record)}
     if record.is_cancelled:
         states.add(job.TaskState.CANCELLED)
-    worst = next(one for one in _WORST_FIRST if one in states)
+    worst = next(candidate for candidate in _WORST_FIRST if candidate in states)
     if record.state is job.JobState.QUEUED:
         adjust_pending(tables, record, -1)
     tables.jobs[record.job] = msgspec.structs.replace(
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -1,4 +1,4 @@
-"""Sessions of targets: announcement, departure, end."""
+"""Sessions of targets: opening, draining, reports and end."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     target,
 )
 
-Reported = TypeVar(
-    'Reported', event.AttemptStart, event.AttemptCheckpoint, event.AttemptEnd
+ReportItem = TypeVar(
+    'ReportItem', event.AttemptStart, event.AttemptCheckpoint, event.AttemptEnd
 )
 
 
@@ -33,20 +33,22 @@
 ) -> outcome.Outcome:
     """Open a session for a target; a repeated announcement gets the same.
 
-    An earlier session that the target certifies as ended ends here. Others
-    keep the capacity of their attempts until their lease has run out.
+    An earlier session that the target reports as ended is ended here. Other
+    earlier sessions hold the capacity of their attempts until their leases
+    expire. An announcement is refused if a newer process is known at its
+    address.
     """
-    known = _find(tables, announcement)
-    if known is not None:
-        return outcome.SessionGranted(known)
+    existing = _find_existing_session(tables, announcement)
+    if existing is not None:
+        return outcome.SessionGranted(existing)
     if _is_superseded(tables, announcement):
         return outcome.NotRun(
             outcome.RefusalReason.SUPERSEDED_LIFE,
-            f'{announcement.target} has been followed at its address',
+            f'{announcement.target} lost its address to a newer process',
         )
     if announcement.ended in tables.sessions:
         end_session(tables, announcement.ended)
-    _end_earlier_life(tables, announcement)
+    _end_previous_target(tables, announcement)
     session = target.Session(
         session=identity.SessionId(f's{tables.next_sequence()}'),
         target=announcement.target,
@@ -57,9 +59,9 @@
     )
     tables.sessions[session.session] = session
     tables.session_counts[session.target] += 1
-    heard_at = _heard_at(tables, session.target)
+    last_heard_at = _last_heard_at(tables, session.target)
     _record_target(tables, announcement, session.session)
-    _carry_over(tables, session, heard_at)
+    _take_over_attempts(tables, session, last_heard_at)
     tables.emit(
         effect.Trace(
             'session opened',
@@ -73,7 +75,7 @@
 def end_session(
     tables: state.State, identifier: identity.SessionId | None
 ) -> None:
-    """End a session of which nothing runs any more."""
+    """End a session none of whose attempts is running any more."""
     if identifier is None or identifier not in tables.sessions:
         return
     session = tables.sessions[identifier]
@@ -97,13 +99,14 @@
     identifier: identity.SessionId,
     remaining_ms: int | None = None,
 ) -> outcome.Outcome:
-    """Place nothing more on a target, and recall what has not begun.
+    """Stop placing tasks on a target, and recall attempts not yet started.
 
-    What would not end in the remaining time goes on elsewhere.
+    If remaining_ms is given, tasks that would not end in that time are moved
+    to other targets.
     """
     session = tables.sessions.get(identifier)
     if session is None:
-        return _gone(identifier)
+        return _refuse_ended_session(identifier)
     record = tables.targets[session.target]
     if record.session == identifier and not record.is_leaving:
         tables.targets[record.target] = msgspec.structs.replace(
@@ -123,10 +126,13 @@
 def record_silence(
     tables: state.State, identifier: identity.SessionId, quiet_ms: int
 ) -> outcome.Outcome:
-    """Place nothing on a target that is silent, until it is heard again."""
+    """Record that a target is silent, or with zero quiet_ms no longer so.
+
+    Nothing is placed on a silent target until it is heard from again.
+    """
     session = tables.sessions.get(identifier)
     if session is None:
-        return _gone(identifier)
+        return _refuse_ended_session(identifier)
     record = tables.targets[session.target]
     if record.session == identifier:
         silence = target.Silence(quiet_ms, tables.time) if quiet_ms else None
@@ -135,21 +141,21 @@
         )
         health.distrust(tables, record.target)
         health.refresh(tables, record.target)
-        told = f'silent for {quiet_ms} ms' if quiet_ms else 'heard again'
-        tables.emit(effect.Trace(told, target=record.target))
+        label = f'silent for {quiet_ms} ms' if quiet_ms else 'heard again'
+        tables.emit(effect.Trace(label, target=record.target))
     return outcome.Recorded()
 
 
 def record_report(
     tables: state.State, received: event.ReportReceived
 ) -> outcome.Outcome:
-    """Record starts and ends that a target reports for its session.
+    """Record starts, checkpoints and ends that a target reports.
 
-    Ends of attempts that are not known are acknowledged too, so that the
-    target forgets them.
+    Ends of unknown attempts are acknowledged too, so that the target stops
+    reporting them.
     """
     if received.session not in tables.sessions:
-        return _gone(received.session)
+        return _refuse_ended_session(received.session)
     _record_each(tables, received, received.started, lifecycle.record_start)
     _record_each(tables, received, received.saved, lifecycle.record_checkpoint)
     _record_each(tables, received, received.ended, lifecycle.record_end)
@@ -162,23 +168,23 @@
 def _record_each(
     tables: state.State,
     received: event.ReportReceived,
-    reported: tuple[Reported, ...],
-    record: Callable[[state.State, Reported], None],
+    reported: tuple[ReportItem, ...],
+    record: Callable[[state.State, ReportItem], None],
 ) -> None:
-    """Record what concerns live attempts of the session."""
+    """Record the items about live attempts of the session."""
     for one in reported:
-        if _is_of_session(tables, one.attempt, received.session):
+        if _belongs_to_session(tables, one.attempt, received.session):
             record(tables, one)
 
 
-def _gone(identifier: identity.SessionId) -> outcome.NotRun:
+def _refuse_ended_session(identifier: identity.SessionId) -> outcome.NotRun:
     return outcome.NotRun(
         outcome.RefusalReason.SESSION_GONE,
         f'session {identifier} has ended',
     )
 
 
-def _is_of_session(
+def _belongs_to_session(
     tables: state.State,
     name: identity.AttemptId,
     session: identity.SessionId,
@@ -187,7 +193,7 @@
     return attempt is not None and attempt.session == session
 
 
-def _find(
+def _find_existing_session(
     tables: state.State, announcement: event.Announcement
 ) -> identity.SessionId | None:
     record = tables.targets.get(announcement.target)
@@ -204,31 +210,31 @@
     announcement: event.Announcement,
     session: identity.SessionId,
 ) -> None:
-    known = tables.targets.get(announcement.target)
+    existing = tables.targets.get(announcement.target)
     record = target.Target(
         target=announcement.target,
         data_centre=announcement.data_centre,
         rack=announcement.rack,
         capacity=announcement.capacity,
         session=session,
-        health=known.health if known else target.Health(),
+        health=existing.health if existing else target.Health(),
         pool=announcement.pool,
         labels=announcement.labels,
         address=announcement.address,
-        speed=known.speed if known else target.Speed(),
-        unsteady_until=known.unsteady_until if known else 0,
+        speed=existing.speed if existing else target.Speed(),
+        unsteady_until=existing.unsteady_until if existing else 0,
     )
     if record.address:
         tables.addresses[record.address] = record.target
-    kinds = set(tables.fleet.capacities)
+    old_capacities = set(tables.fleet.capacities)
     tables.targets[record.target] = record
     index_target(tables, record)
-    if set(tables.fleet.capacities) != kinds:
-        _review_waiting(tables)
+    if set(tables.fleet.capacities) != old_capacities:
+        _requeue_waiting(tables)
 
 
 def index_target(tables: state.State, record: target.Target) -> None:
-    """Enter a target into the index, with what its attempts hold."""
+    """Add a target to the index, less the resources its attempts hold."""
     old = tables.fleet.loads.get(record.target)
     attempts = old.attempts if old else set()
     free = record.capacity
@@ -254,45 +260,47 @@
 def _is_superseded(
     tables: state.State, announcement: event.Announcement
 ) -> bool:
-    """Return whether a later life is known at the target's address."""
+    """Return whether a newer process is known at the target's address."""
     successor = tables.addresses.get(announcement.address)
-    known = tables.targets.get(successor) if successor else None
-    if known is None or known.session is None:
+    existing = tables.targets.get(successor) if successor else None
+    if existing is None or existing.session is None:
         return False
-    return tables.sessions[known.session].born_at > announcement.born_at
+    return tables.sessions[existing.session].born_at > announcement.born_at
 
 
-def _end_earlier_life(
+def _end_previous_target(
     tables: state.State, announcement: event.Announcement
 ) -> None:
     """End the session of another target that was at the same address.
 
-    Only one life can be there, so that nothing of the earlier one runs. An
-    order to it that is still under way names it and is refused there.
+    Only one target can run at an address, so nothing of the earlier one is
+    running. An order still in flight names the earlier target, so the new
+    one refuses it.
     """
     earlier = tables.addresses.get(announcement.address)
-    known = tables.targets.get(earlier) if earlier else None
-    if known is None or known.target == announcement.target:
+    existing = tables.targets.get(earlier) if earlier else None
+    if existing is None or existing.target == announcement.target:
         return
-    end_session(tables, known.session)
+    end_session(tables, existing.session)
 
 
-def _heard_at(tables: state.State, name: identity.TargetId) -> int:
-    """Return when a target was last heard, as far as that is noted."""
-    known = tables.targets.get(name)
-    if known is None or known.silence is None:
+def _last_heard_at(tables: state.State, name: identity.TargetId) -> int:
+    """Return when a silent target was last heard from, otherwise now."""
+    existing = tables.targets.get(name)
+    if existing is None or existing.silence is None:
         return tables.time
-    return known.silence.heard_at()
+    return existing.silence.heard_at()
 
 
-def _carry_over(
-    tables: state.State, session: target.Session, heard_at: int
+def _take_over_attempts(
+    tables: state.State, session: target.Session, last_heard_at: int
 ) -> None:
-    """Bar what an earlier life of the same target was told to run.
+    """Stop the attempts of the target's sessions from before its restart.
 
-    It runs no more, but an order that is still under way would be taken by
-    the new life, which has the same name: each is stopped there first, and
-    holds its capacity until then.
+    They are no longer running, but the restarted target has the same name
+    and would carry out a start order still in flight. Each attempt is
+    therefore moved to the new session and stopped there, and holds its
+    capacity until the target confirms that.
     """
     if not session.born_at:
         return
@@ -303,19 +311,21 @@
     ]
     for name in earlier:
         for attempt in sorted(tables.by_session.get(name, ())):
-            _move(tables, tables.attempts[attempt], session.session, heard_at)
+            _move_attempt(
+                tables, tables.attempts[attempt], session.session, last_heard_at
+            )
         end_session(tables, name)
 
 
-def _move(
+def _move_attempt(
     tables: state.State,
     attempt: job.Attempt,
     session: identity.SessionId,
-    heard_at: int,
+    last_heard_at: int,
 ) -> None:
     lost_at = 0
     if attempt.started_at:
-        lost_at = attempt.lost_at or max(heard_at, attempt.started_at)
+        lost_at = attempt.lost_at or max(last_heard_at, attempt.started_at)
     moved = msgspec.structs.replace(
         attempt,
         session=session,
@@ -328,11 +338,11 @@
     tables.emit(effect.StopAttempt(moved))
 
 
-def _review_waiting(tables: state.State) -> None:
-    """Set aside what fits on no kind of target, and let the rest queue.
+def _requeue_waiting(tables: state.State) -> None:
+    """Queue the waiting tasks again; set aside those that fit on no target.
 
-    Called when the kinds of targets have changed, so that the queues are a
-    function of the records alone.
+    Called when the set of target capacities has changed, so that the queues
+    depend only on the records.
     """
     queued = [
         position.task
@@ -370,4 +380,4 @@
         tables.addresses.pop(record.address)
     tables.quarantined.discard((record.health.until, load.target))
     if load.capacity not in tables.fleet.capacities:
-        _review_waiting(tables)
+        _requeue_waiting(tables)
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -1,7 +1,7 @@
-"""Steps of a workflow: when their tasks may run, and what their ends mean.
+"""Steps of a workflow: when their tasks may run, and how their ends count.
 
-The load that this answers: jobs of several steps, some of which wait for
-others, run again by a calendar, or last until they are cancelled.
+A workflow is a job of several steps, some of which wait for others. It may
+recur on a schedule, and its steps may last until the job is cancelled.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
     state,
 )
 
-_RESTART_MS = 200
-_LONGEST_RESTART_MS = 1600
-_FREE_FAILURES = 1
-# A job that ends after so many times its objective is worth nothing.
-_WORTHLESS_AFTER = 3
-# Behind all work that is worth something, in the order that it had.
-_PUT_BACK_MS = 600_000
+_RETRY_DELAY_MS = 200
+_MAX_RETRY_DELAY_MS = 1600
+_UNDELAYED_FAILURES = 1
+# A job that ends after this multiple of its objective is worth nothing.
+_WORTHLESS_FACTOR = 3
+# Moves worthless steps behind all other work and keeps their order.
+_DEMOTION_MS = 600_000
 
-# Ends after which every member of a gang has to be run again.
-_GANG_ENDS = frozenset(
+# End reasons after which every member of a gang has to run again.
+_GANG_RESTART_REASONS = frozenset(
     (
         job.EndReason.FAILED,
         *job.UNSTARTED,
@@ -43,50 +43,50 @@
     )
 )
 
-Check = tuple[Callable[[job.Specification], bool], job.Fault]
+ShapeCheck = tuple[Callable[[job.Specification], bool], job.Fault]
 
-_TASK_CHECKS: tuple[Check, ...] = (
+_TASK_CHECKS: tuple[ShapeCheck, ...] = (
     (
         lambda specification: not specification.steps,
-        job.Fault('steps', 'only a workflow has steps'),
+        job.Fault('steps', 'only a workflow may have steps'),
     ),
     (
         lambda specification: bool(specification.tasks),
-        job.Fault('tasks', 'a job has at least one task'),
+        job.Fault('tasks', 'a job must have at least one task'),
     ),
 )
-_WORKFLOW_CHECKS: tuple[Check, ...] = (
+_WORKFLOW_CHECKS: tuple[ShapeCheck, ...] = (
     (
         lambda specification: not specification.tasks,
-        job.Fault('tasks', 'a workflow has steps and no tasks'),
+        job.Fault('tasks', 'a workflow must have steps, not tasks'),
     ),
     (
         lambda specification: bool(specification.steps),
-        job.Fault('steps', 'a workflow has at least one step'),
+        job.Fault('steps', 'a workflow must have at least one step'),
     ),
     (
         lambda specification: specification.is_idempotent,
-        job.Fault('idempotent', 'a workflow is idempotent'),
+        job.Fault('idempotent', 'a workflow must be idempotent'),
     ),
     (
         lambda specification: specification.count_tasks() <= job.MAX_TASKS,
-        job.Fault('steps', f'a job has at most {job.MAX_TASKS} tasks'),
+        job.Fault('steps', f'a job may have at most {job.MAX_TASKS} tasks'),
     ),
 )
 
 
 def find_fault(specification: job.Specification) -> job.Fault | None:
-    """Return why the shape of a job is invalid, or None."""
+    """Return the first fault in the tasks and steps of a job, or None."""
     is_workflow = specification.kind is job.Kind.WORKFLOW
     checks = _WORKFLOW_CHECKS if is_workflow else _TASK_CHECKS
     of_shape = (
-        fault for is_fine, fault in checks if not is_fine(specification)
+        fault for is_valid, fault in checks if not is_valid(specification)
     )
     of_steps = itertools.starmap(
         _find_step_fault, enumerate(specification.steps)
     )
     faults = itertools.chain(of_shape, of_steps)
-    return next((one for one in faults if one is not None), None)
+    return next((found for found in faults if found is not None), None)
 
 
 def _find_step_fault(
@@ -94,21 +94,23 @@
 ) -> job.Fault | None:
     if any(earlier not in range(number) for earlier in step.after):
         return job.Fault(
-            f'steps[{number}].after', 'a step comes after earlier ones only'
+            f'steps[{number}].after', 'a step may only come after earlier steps'
         )
     if step.is_gang and step.is_lasting:
-        return job.Fault(f'steps[{number}].gang', 'a gang does not last')
+        return job.Fault(
+            f'steps[{number}].gang', 'a gang step cannot be lasting'
+        )
     return None
 
 
 def schedule_first_occurrence(tables: state.State, record: job.Job) -> None:
-    """Release the first occurrence of a job, or schedule it."""
+    """Schedule the first occurrence of a job, and release it if it is due."""
     schedule_next_occurrence(tables, record)
     release_due(tables)
 
 
 def release_due(tables: state.State) -> None:
-    """Release the delayed tasks and occurrences whose time has come."""
+    """Release the delayed tasks and occurrences that are due."""
     queueing.release_due(tables)
     while tables.due and tables.due[0][0] <= tables.time:
         _, name = tables.due.pop(0)
@@ -118,22 +120,22 @@
 
 
 def drop_occurrences(tables: state.State, name: identity.JobId) -> None:
-    """Give up the occurrences of a job that were not released."""
+    """Drop the occurrences of a job that have not been released."""
     record = tables.jobs[name]
     specification = record.specification
     if specification.kind is not job.Kind.WORKFLOW or not record.unfinished:
         return
-    left = specification.count_occurrences() - record.released
+    remaining = specification.count_occurrences() - record.released
     tables.due.discard((_due_at(record, record.released), name))
-    unfinished = record.unfinished - left * specification.count_tasks()
+    unfinished = record.unfinished - remaining * specification.count_tasks()
     record = msgspec.structs.replace(record, unfinished=unfinished)
     tables.jobs[name] = record
-    if left and not unfinished:
+    if remaining and not unfinished:
         lifecycle.finish_job(tables, record)
 
 
 def schedule_next_occurrence(tables: state.State, record: job.Job) -> None:
-    """Note when the next occurrence of a job is due, if there is one."""
+    """Schedule the next occurrence of a job, if there is one."""
     is_ended = record.is_cancelled or record.is_abandoned
     occurrences = record.specification.count_occurrences()
     if not is_ended and record.released < occurrences:
@@ -171,35 +173,36 @@
     attempt: job.Attempt,
     ended: event.AttemptEnd,
 ) -> None:
-    """Decide what follows the end of an attempt of a workflow's task."""
+    """Complete, cancel or retry a workflow's task after an attempt ends."""
     record = tables.jobs[task.job]
     step = tables.steps[task.step_id()]
     needs = tables.step_specification(step)
     if _is_completed(needs, step, attempt, ended.reason):
-        _complete(tables, task, attempt, needs)
+        _complete_task(tables, task, attempt, needs)
     elif record.is_cancelled or record.is_abandoned:
         lifecycle.finish_task(tables, task, job.TaskState.CANCELLED)
     else:
-        _run_again(tables, task, attempt, ended)
+        _retry_task(tables, task, attempt, ended)
 
 
 def demote_if_worthless(tables: state.State, name: identity.StepId) -> bool:
-    """Let a step wait behind others once its job is worth nothing.
+    """Move a step behind others once its job is too late to be worth anything.
 
-    It is not given up: whatever was accepted is run. Lasting work is worth
-    something whenever it runs. Returns whether it was put back now.
+    The step is not dropped, because every accepted job is run. Lasting work
+    is never demoted, because it is worth something whenever it runs. Returns
+    whether the step was demoted by this call.
     """
     step = tables.steps[name]
     if tables.step_specification(step).is_lasting:
         return False
-    if tables.time < step.worthless_at or _is_put_back(step):
+    if tables.time < step.worthless_at or _is_demoted(step):
         return False
     numbers = list(tables.waiting.steps[name])
     members = members_of(tables, step)
     for number in numbers:
         queueing.stop_waiting(tables, members[number])
     tables.steps[name] = msgspec.structs.replace(
-        step, order=step.order + _PUT_BACK_MS
+        step, order=step.order + _DEMOTION_MS
     )
     for number in numbers:
         queueing.wait(tables, members[number])
@@ -219,9 +222,9 @@
     return recurrence.first_at + occurrence * recurrence.interval_ms
 
 
-def _is_put_back(step: job.Step) -> bool:
-    # The order of a step is before the time from which it is worthless.
-    return step.order > step.worthless_at + _PUT_BACK_MS // 2
+def _is_demoted(step: job.Step) -> bool:
+    # Before a demotion, the order is earlier than worthless_at.
+    return step.order > step.worthless_at + _DEMOTION_MS // 2
 
 
 def _release(tables: state.State, record: job.Job) -> None:
@@ -242,7 +245,7 @@
             number=number,
             sequence=record.sequence,
             order=due_at + allowed_ms - chain_ms,
-            worthless_at=due_at + _WORTHLESS_AFTER * allowed_ms - chain_ms,
+            worthless_at=due_at + _WORTHLESS_FACTOR * allowed_ms - chain_ms,
             blocked_by=len(set(needs.after)),
             unfinished=needs.count,
         )
@@ -279,11 +282,11 @@
         return False
     if reason is job.EndReason.COMPLETED:
         return True
-    # One completed member of a gang's run stands for all of them.
+    # A gang run counts as completed once one member has completed.
     return needs.is_gang and step.completed_run == attempt.number
 
 
-def _complete(
+def _complete_task(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
@@ -295,23 +298,23 @@
         step = msgspec.structs.replace(step, completed_run=attempt.number)
     if attempt.started_at:
         queue = tables.specification(task).queue
-        took_ms = tables.time - attempt.started_at
-        estimate.learn(tables, queue, attempt.target, took_ms)
+        elapsed_ms = tables.time - attempt.started_at
+        estimate.learn(tables, queue, attempt.target, elapsed_ms)
     tables.steps[step.step] = step
     lifecycle.finish_task(tables, task, job.TaskState.COMPLETED)
     if step.unfinished == 0:
         speed.learn(tables, step, members_of(tables, step))
-        _unblock(tables, step)
+        _unblock_dependents(tables, step)
 
 
-def _unblock(tables: state.State, done: job.Step) -> None:
-    record = tables.jobs[done.job]
+def _unblock_dependents(tables: state.State, completed: job.Step) -> None:
+    record = tables.jobs[completed.job]
     if record.is_cancelled or record.is_abandoned:
         return
     for number, needs in enumerate(record.specification.steps):
-        if done.number not in needs.after:
+        if completed.number not in needs.after:
             continue
-        name = job.step_id(done.job, done.occurrence, number)
+        name = job.step_id(completed.job, completed.occurrence, number)
         step = tables.steps[name]
         step = msgspec.structs.replace(step, blocked_by=step.blocked_by - 1)
         tables.steps[name] = step
@@ -320,7 +323,7 @@
                 queueing.wait_again(tables, task)
 
 
-def _run_again(
+def _retry_task(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
@@ -333,26 +336,29 @@
     if ended.reason is job.EndReason.FAILED:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
     if needs.is_gang:
-        # The record is in place before the other members are looked at.
+        # Store the task first, because stopping the gang reads all members.
         tables.tasks[task.task] = task
-        _break_gang(tables, task, attempt, ended.reason)
+        _stop_gang_run(tables, task, attempt, ended.reason)
     if _is_exhausted(tables, task):
         lifecycle.finish_task(tables, task, job.TaskState.FAILED)
-        _abandon(tables, task.job)
+        _abandon_job(tables, task.job)
         return
-    queueing.wait_again(tables, task, _restart_at(tables, task, ended.reason))
+    queueing.wait_again(tables, task, _retry_at(tables, task, ended.reason))
 
 
-def _restart_at(
+def _retry_at(
     tables: state.State, task: job.Task, reason: job.EndReason
 ) -> int:
     if reason in job.UNSTARTED:
-        return tables.time + _RESTART_MS
-    if reason is not job.EndReason.FAILED or task.failures <= _FREE_FAILURES:
+        return tables.time + _RETRY_DELAY_MS
+    if (
+        reason is not job.EndReason.FAILED
+        or task.failures <= _UNDELAYED_FAILURES
+    ):
         return 0
-    longest = _LONGEST_RESTART_MS // _RESTART_MS
-    doublings = min(task.failures - _FREE_FAILURES - 1, longest)
-    return tables.time + _RESTART_MS * min(1 << doublings, longest)
+    max_multiple = _MAX_RETRY_DELAY_MS // _RETRY_DELAY_MS
+    doublings = min(task.failures - _UNDELAYED_FAILURES - 1, max_multiple)
+    return tables.time + _RETRY_DELAY_MS * min(1 << doublings, max_multiple)
 
 
 def _is_exhausted(tables: state.State, task: job.Task) -> bool:
@@ -364,20 +370,20 @@
     return failures >= retry.most_failures(tables, task)
 
 
-def _break_gang(
+def _stop_gang_run(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
     reason: job.EndReason,
 ) -> None:
-    """Stop the other members of a gang's run, which cannot go on alone."""
+    """Count a failed gang run and stop its members, as none can go on alone."""
     step = tables.steps[task.step_id()]
     if reason is job.EndReason.FAILED and step.failed_run != attempt.number:
         step = msgspec.structs.replace(
             step, failures=step.failures + 1, failed_run=attempt.number
         )
         tables.steps[step.step] = step
-    if reason not in _GANG_ENDS:
+    if reason not in _GANG_RESTART_REASONS:
         return
     live = [
         tables.attempts[member.attempt]
@@ -398,8 +404,8 @@
         tables.steps[step.step] = msgspec.structs.replace(step, tickets=kept)
 
 
-def _abandon(tables: state.State, name: identity.JobId) -> None:
-    """End what is left of a job that cannot be completed any more."""
+def _abandon_job(tables: state.State, name: identity.JobId) -> None:
+    """Cancel the unfinished tasks of a job that can no longer complete."""
     record = tables.jobs[name]
     if record.is_abandoned:
         return
