--- a/mulberrywalk/core/absence_test.py
+++ b/mulberrywalk/core/absence_test.py
@@ -1,4 +1,4 @@
-"""Lasting tasks that do not run are found, with what they wait for."""
+"""Tests for finding lasting tasks that are not running, and why."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 
 NAME = '0123456789abcdef'
 TERMS = job.AdviceTerms(decision_ms=20, per_target_us=300, valid_ms=2500)
-# All of what a target of the cell has.
-WHOLE = 4000
+# The whole processor capacity of each target of the cell.
+TARGET_MILLICORES = 4000
 
 
 def submit(cell, *steps, **more):
@@ -28,27 +28,27 @@
     return cell.tables.attempts[task.attempt]
 
 
-def find(cell, over_ms=-1):
-    found = absence.find_absences(cell.tables, cell.now, over_ms)
-    # A replica that was restored finds the same.
+def find_absences(cell, longer_than_ms=-1):
+    found = absence.find_absences(cell.tables, cell.now, longer_than_ms)
+    # A state restored from a snapshot gives the same result.
     restored = snapshot.decode(snapshot.encode(cell.tables))
-    assert absence.find_absences(restored, cell.now, over_ms) == found
+    assert absence.find_absences(restored, cell.now, longer_than_ms) == found
     return found
 
 
-def find_one(cell):
-    return cell_test.only(find(cell))
+def find_absence(cell):
+    return cell_test.only(find_absences(cell))
 
 
-def advise(cell, *allowed):
+def answer_advice(cell, *allowed):
     asked = ('t0', 't1')
     tickets = tuple((name, f'ticket of {name}') for name in allowed)
     step = f'{NAME}.0.0'
     cell.apply(event.AdviceReceived, step, asked, tickets, 0)
 
 
-def run_first(cell, *steps, **more):
-    """Let the first run of the task begin."""
+def start_first_run(cell, *steps, **more):
+    """Submit the task and confirm the start of its first attempt."""
     submit(cell, *steps, **more)
     cell.dispatch()
     cell.start(attempt_of(cell))
@@ -60,9 +60,9 @@
     began_at = cell.now
     cell.dispatch(100)
     cell.now += 1900
-    assert not find(cell, 2000)
+    assert not find_absences(cell, 2000)
     cell.now += 1
-    found = cell_test.only(find(cell, 2000))
+    found = cell_test.only(find_absences(cell, 2000))
     assert found == absence.Absence(
         task=cell.tables.tasks[f'{NAME}.0.0.0'],
         stage=absence.Stage.START_UNCONFIRMED,
@@ -75,25 +75,25 @@
         free_slots=absence.MIN_FREE_SLOTS,
     )
     cell.start(attempt_of(cell))
-    assert not find(cell)
+    assert not find_absences(cell)
 
 
-def test_absence_lasts_through_starts_without_an_answer():
+def test_absence_lasts_through_unconfirmed_starts():
     cell = cell_test.Cell(targets=2)
-    run_first(cell)
+    start_first_run(cell)
     cell.now += 5000
     cell.apply(event.SessionExpired, attempt_of(cell).session)
     lost_at = cell.now
     for _ in range(2):
         cell.dispatch(1000)
         cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
-    found = find_one(cell)
+    found = find_absence(cell)
     assert found.stage is absence.Stage.RETRY_DELAYED
     assert found.since == lost_at
     assert (found.attempt_count, found.unstarted_count) == (3, 2)
     assert found.last_ended.attempt == f'{NAME}.0.0.0/3'
     cell.dispatch(1000)
-    assert find_one(cell).since == lost_at
+    assert find_absence(cell).since == lost_at
 
 
 def test_absence_before_the_first_run_counts_from_the_submission():
@@ -104,17 +104,17 @@
     cell.open_session(0)
     cell.dispatch()
     cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
-    assert find_one(cell).since == submitted_at
+    assert find_absence(cell).since == submitted_at
 
 
-def test_absence_after_many_unanswered_starts_is_of_the_oldest_kept():
+def test_absence_counts_from_the_oldest_attempt_in_the_history():
     cell = cell_test.Cell(targets=2)
-    run_first(cell)
+    start_first_run(cell)
     cell.report(attempt_of(cell), job.EndReason.FAILED)
     for _ in range(30):
         cell.dispatch(1000)
         cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
-    found = find_one(cell)
+    found = find_absence(cell)
     assert found.since == found.task.history[0].placed_at
     assert found.unstarted_count == len(found.task.history)
 
@@ -123,32 +123,32 @@
     cell = cell_test.Cell()
     submit(cell, cell_test.step(2))
     cell.dispatch()
-    assert not find(cell)
+    assert not find_absences(cell)
 
 
-def test_tasks_of_a_job_that_is_called_off_are_not_absent():
+def test_tasks_of_a_cancelled_job_are_not_absent():
     cell = cell_test.Cell(targets=1)
     submit(cell)
     cell.dispatch()
     cell.apply(event.JobCancelled, NAME)
     assert attempt_of(cell).stopping is job.StopReason.CANCELLED
-    assert not find(cell)
+    assert not find_absences(cell)
 
 
 def test_longest_absence_comes_first():
     cell = cell_test.Cell(targets=2)
-    run_first(cell, cell_test.step(2, is_lasting=True))
+    start_first_run(cell, cell_test.step(2, is_lasting=True))
     cell.start(attempt_of(cell, 1))
     for number in (1, 0):
         cell.now += 10
         cell.report(attempt_of(cell, number), job.EndReason.FAILED)
-    assert [one.task.number for one in find(cell)] == [1, 0]
+    assert [one.task.number for one in find_absences(cell)] == [1, 0]
 
 
-def test_task_without_room_says_so():
+def test_task_that_fits_nowhere_has_no_room():
     cell = cell_test.Cell(targets=1)
-    run_first(cell, cell_test.step(2, WHOLE, is_lasting=True))
-    found = find_one(cell)
+    start_first_run(cell, cell_test.step(2, TARGET_MILLICORES, is_lasting=True))
+    found = find_absence(cell)
     assert found.stage is absence.Stage.NO_ROOM
     assert not found.has_room()
 
@@ -156,123 +156,127 @@
 @pytest.mark.parametrize(
     ('millicores', 'limit', 'targets', 'room'),
     [
-        (WHOLE // 2, 0, 1, 2),
-        (WHOLE, 0, 1, 1),
-        (WHOLE, 0, 2, 2),
-        (WHOLE // 2, 1, 1, 1),
-        (WHOLE // 2, 1, 2, 2),
-        (2 * WHOLE, 0, 2, 0),
+        (TARGET_MILLICORES // 2, 0, 1, 2),
+        (TARGET_MILLICORES, 0, 1, 1),
+        (TARGET_MILLICORES, 0, 2, 2),
+        (TARGET_MILLICORES // 2, 1, 1, 1),
+        (TARGET_MILLICORES // 2, 1, 2, 2),
+        (2 * TARGET_MILLICORES, 0, 2, 0),
     ],
 )
-def test_room_is_counted_twice_over(millicores, limit, targets, room):
+def test_free_slots_are_counted_up_to_the_minimum(
+    millicores, limit, targets, room
+):
     cell = cell_test.Cell(targets=targets)
     step = cell_test.step(
         1, millicores, is_lasting=True, per_target_limit=limit
     )
     submit(cell, step)
-    assert find_one(cell).free_slots == room
+    assert find_absence(cell).free_slots == room
 
 
-def test_room_on_other_pools_and_closed_targets_does_not_count():
+def test_other_pools_and_closed_targets_have_no_free_slots():
     cell = cell_test.Cell()
-    places = [('north', ()), ('south', ('ssd',)), ('north', ('ssd',))]
-    for number, (pool, labels) in enumerate(places):
+    pools_and_labels = [('north', ()), ('south', ('ssd',)), ('north', ('ssd',))]
+    for number, (pool, labels) in enumerate(pools_and_labels):
         announced = cell_test.announce(number, 'n', pool=pool, labels=labels)
         cell.apply(event.SessionOpened, announced)
     submit(cell, cell_test.step(label='ssd', is_lasting=True), pool='north')
-    assert find_one(cell).has_room()
+    assert find_absence(cell).has_room()
     session = cell.tables.targets['t2'].session
     cell.apply(event.DepartureAnnounced, session)
-    found = find_one(cell)
+    found = find_absence(cell)
     assert (found.free_slots, found.stage) == (0, absence.Stage.NO_ROOM)
 
 
-def test_limit_on_each_target_leaves_no_room():
+def test_limit_per_target_leaves_no_room():
     cell = cell_test.Cell(targets=1)
-    run_first(cell, cell_test.step(2, is_lasting=True, per_target_limit=1))
-    assert find_one(cell).stage is absence.Stage.NO_ROOM
+    start_first_run(
+        cell, cell_test.step(2, is_lasting=True, per_target_limit=1)
+    )
+    assert find_absence(cell).stage is absence.Stage.NO_ROOM
 
 
-def test_task_waits_for_the_adviser():
+def test_stage_follows_the_request_to_the_adviser():
     cell = cell_test.Cell(targets=2)
     submit(cell, advice=TERMS)
-    assert find_one(cell).stage is absence.Stage.QUEUED
+    assert find_absence(cell).stage is absence.Stage.QUEUED
     cell.dispatch()
-    assert find_one(cell).stage is absence.Stage.AWAITING_ADVICE
-    advise(cell, 't1')
-    assert find_one(cell).stage is absence.Stage.QUEUED
+    assert find_absence(cell).stage is absence.Stage.AWAITING_ADVICE
+    answer_advice(cell, 't1')
+    assert find_absence(cell).stage is absence.Stage.QUEUED
     cell.dispatch()
-    assert find_one(cell).stage is absence.Stage.START_UNCONFIRMED
+    assert find_absence(cell).stage is absence.Stage.START_UNCONFIRMED
 
 
-def test_room_that_the_adviser_does_not_allow_is_named():
+def test_stage_tells_that_no_allowed_target_has_room():
     cell = cell_test.Cell(targets=2)
     submit(cell, advice=TERMS)
     cell.dispatch()
-    advise(cell)
-    found = find_one(cell)
+    answer_advice(cell)
+    found = find_absence(cell)
     assert found.stage is absence.Stage.NO_ALLOWED_ROOM
     assert found.has_room()
 
 
-def test_start_on_a_silent_target_is_unproved():
+def test_unconfirmed_start_on_a_silent_target_has_its_own_stage():
     cell = cell_test.Cell(targets=1)
     submit(cell)
     cell.dispatch()
     cell.now += 3000
     cell.apply(event.SilenceNoted, attempt_of(cell).session, 1200)
-    found = find_one(cell)
+    found = find_absence(cell)
     assert found.stage is absence.Stage.TARGET_SILENT
     assert found.stage_since == cell.now - 1200
 
 
-def test_run_on_a_silent_target_is_absent_since_it_was_heard():
+def test_run_on_a_silent_target_is_absent_since_last_contact():
     cell = cell_test.Cell(targets=1)
-    run_first(cell)
+    start_first_run(cell)
     cell.now += 9000
     session = attempt_of(cell).session
     cell.apply(event.SilenceNoted, session, 1200)
-    found = find_one(cell)
+    found = find_absence(cell)
     assert found.stage is absence.Stage.TARGET_SILENT
     assert found.since == cell.now - 1200
     assert not found.has_room()
     cell.apply(event.SilenceNoted, session, 0)
-    assert not find(cell)
+    assert not find_absences(cell)
 
 
-def test_absence_goes_on_when_the_loss_is_proved():
+def test_absence_keeps_its_start_when_the_session_expires():
     cell = cell_test.Cell(targets=1)
-    run_first(cell)
+    start_first_run(cell)
     cell.now += 9000
     session = attempt_of(cell).session
     cell.apply(event.SilenceNoted, session, 1200)
     heard_at = cell.now - 1200
     cell.now += 4000
     cell.apply(event.SessionExpired, session)
-    assert find_one(cell).since == heard_at
+    assert find_absence(cell).since == heard_at
 
 
-def test_absence_on_a_silent_target_begins_after_the_start():
+def test_absence_on_a_silent_target_never_begins_before_the_start():
     cell = cell_test.Cell(targets=1)
-    run_first(cell)
+    start_first_run(cell)
     started_at = cell.now
     cell.now += 1000
     session = attempt_of(cell).session
     cell.apply(event.SilenceNoted, session, 1200)
-    assert find_one(cell).since == started_at
+    assert find_absence(cell).since == started_at
     cell.apply(event.SessionExpired, session)
-    assert find_one(cell).since == started_at
+    assert find_absence(cell).since == started_at
 
 
-def test_start_that_is_recalled_is_stopping():
+def test_recalled_start_waits_for_its_stop():
     cell = cell_test.Cell(targets=1)
     submit(cell)
     cell.dispatch()
     cell.apply(event.DepartureAnnounced, attempt_of(cell).session)
-    assert find_one(cell).stage is absence.Stage.STOP_UNCONFIRMED
+    assert find_absence(cell).stage is absence.Stage.STOP_UNCONFIRMED
 
 
-def be_born(cell, born_at):
+def open_session_of_process(cell, born_at):
     announced = cell_test.announce(
         0, str(born_at), born_at=born_at, address='a:1', lease_ms=8000
     )
@@ -280,17 +284,17 @@
 
 
 @pytest.mark.parametrize('quiet_ms', [0, 1200])
-def test_run_of_an_earlier_life_is_absent_until_it_is_barred(quiet_ms):
+def test_run_from_before_a_restart_is_absent_since_last_contact(quiet_ms):
     cell = cell_test.Cell()
-    be_born(cell, 100)
-    run_first(cell)
+    open_session_of_process(cell, 100)
+    start_first_run(cell)
     cell.now += 5000
     lost_at = cell.now - quiet_ms
     cell.apply(event.SilenceNoted, attempt_of(cell).session, quiet_ms)
-    be_born(cell, 200)
+    open_session_of_process(cell, 200)
     cell.now += 3000
-    found = find_one(cell)
+    found = find_absence(cell)
     assert found.stage is absence.Stage.STOP_UNCONFIRMED
     assert (found.since, found.stage_since) == (lost_at, lost_at)
     cell.report(attempt_of(cell), job.EndReason.NEVER_STARTED)
-    assert find_one(cell).since == lost_at
+    assert find_absence(cell).since == lost_at
--- a/mulberrywalk/core/confirmation_test.py
+++ b/mulberrywalk/core/confirmation_test.py
@@ -1,4 +1,4 @@
-"""What no target confirms is given up soon, a gang as a whole."""
+"""Starts that are not confirmed in time are stopped, gangs as a whole."""
 
 import pytest
 
@@ -14,7 +14,7 @@
     return cell
 
 
-def stopped(effects):
+def stopped_attempts(effects):
     return [
         one.attempt.attempt
         for one in effects
@@ -22,14 +22,16 @@
     ]
 
 
-def test_a_gang_with_a_member_missing_is_stopped_as_a_whole(cell):
+def test_gang_with_an_unconfirmed_member_is_stopped_as_a_whole(cell):
     attempts = list(cell.tables.attempts.values())
     for attempt in attempts[:2]:
         cell.start(attempt)
-    assert not stopped(cell.dispatch(confirmation.GANG_START_TIMEOUT_MS - 1))
+    assert not stopped_attempts(
+        cell.dispatch(confirmation.GANG_START_TIMEOUT_MS - 1)
+    )
     effects = cell.dispatch(1)
-    assert len(stopped(effects)) == 3
-    assert not stopped(cell.dispatch(1000))
+    assert len(stopped_attempts(effects)) == 3
+    assert not stopped_attempts(cell.dispatch(1000))
     cell.report(attempts[2], job.EndReason.NEVER_STARTED)
     for attempt in attempts[:2]:
         cell.report(attempt, job.EndReason.STOPPED)
@@ -37,13 +39,15 @@
     assert {one.number for one in cell.tables.attempts.values()} == {2}
 
 
-def test_a_gang_that_has_come_together_is_left_alone(cell):
+def test_gang_with_all_members_started_is_left_alone(cell):
     for attempt in list(cell.tables.attempts.values()):
         cell.start(attempt)
-    assert not stopped(cell.dispatch(10 * confirmation.GANG_START_TIMEOUT_MS))
+    assert not stopped_attempts(
+        cell.dispatch(10 * confirmation.GANG_START_TIMEOUT_MS)
+    )
 
 
-def test_a_restored_state_knows_which_gangs_come_together(cell):
+def test_restored_state_keeps_the_unconfirmed_starts(cell):
     cell.start(next(iter(cell.tables.attempts.values())))
     restored = snapshot.decode(snapshot.encode(cell.tables))
     assert len(restored.unconfirmed) == 2
@@ -58,40 +62,46 @@
     return cell
 
 
-def test_an_unanswered_start_does_not_hold_a_task_for_good():
+def test_unconfirmed_start_is_stopped_and_retried_elsewhere():
     cell = lasting_cell()
     first = cell_test.only(cell.tables.attempts.values())
-    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS - 1))
-    assert stopped(cell.dispatch(1)) == [first.attempt]
+    assert not stopped_attempts(
+        cell.dispatch(confirmation.START_TIMEOUT_MS - 1)
+    )
+    assert stopped_attempts(cell.dispatch(1)) == [first.attempt]
     cell.report(first, job.EndReason.NEVER_STARTED)
     cell.dispatch(1000)
     again = cell_test.only(cell.tables.attempts.values())
     assert again.target != first.target
 
 
-def test_what_is_unconfirmed_on_a_silent_target_is_left_to_its_lease():
+def test_unconfirmed_start_on_a_silent_target_is_not_stopped():
     cell = lasting_cell()
     attempt = cell_test.only(cell.tables.attempts.values())
     cell.apply(event.SilenceNoted, attempt.session, 1400)
-    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS))
+    assert not stopped_attempts(cell.dispatch(confirmation.START_TIMEOUT_MS))
     cell.apply(event.SilenceNoted, attempt.session, 0)
-    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS - 1))
-    assert stopped(cell.dispatch(1)) == [attempt.attempt]
+    assert not stopped_attempts(
+        cell.dispatch(confirmation.START_TIMEOUT_MS - 1)
+    )
+    assert stopped_attempts(cell.dispatch(1)) == [attempt.attempt]
 
 
-def test_a_new_leader_gives_a_start_its_time_anew():
+def test_start_timeout_begins_again_with_a_new_leader():
     cell = lasting_cell()
     attempt = cell_test.only(cell.tables.attempts.values())
     cell.now += 10 * confirmation.START_TIMEOUT_MS
     cell.apply(event.LeadershipBegun)
-    assert not stopped(cell.dispatch(confirmation.START_TIMEOUT_MS - 1))
+    assert not stopped_attempts(
+        cell.dispatch(confirmation.START_TIMEOUT_MS - 1)
+    )
     restored = snapshot.decode(snapshot.encode(cell.tables))
     assert restored.led_from == cell.tables.led_from
-    assert stopped(cell.dispatch(1)) == [attempt.attempt]
+    assert stopped_attempts(cell.dispatch(1)) == [attempt.attempt]
 
 
 @pytest.mark.parametrize('reason', ['unconfirmed', 'refused'])
-def test_a_target_that_starts_nothing_is_used_last(reason):
+def test_target_that_fails_to_start_attempts_is_used_last(reason):
     cell = lasting_cell()
     first = cell_test.only(cell.tables.attempts.values())
     end = job.EndReason.REFUSED
@@ -114,7 +124,7 @@
             cell.start(attempt)
 
 
-def test_a_gang_does_not_go_back_to_a_target_that_starts_nothing():
+def test_gang_avoids_a_target_that_fails_to_start_attempts():
     cell = cell_test.Cell(targets=2)
     needs = cell_test.step(2, is_gang=True)
     cell.submit(cell_test.specify(1, job.Kind.WORKFLOW, steps=(needs,)))
@@ -132,7 +142,7 @@
     assert 't0' not in targets
 
 
-def test_starts_that_are_lost_everywhere_at_once_close_no_pool():
+def test_starts_lost_on_all_targets_at_once_do_not_close_the_pool():
     cell = cell_test.Cell(targets=3)
     needs = cell_test.step(9, is_lasting=True)
     cell.submit(cell_test.specify(1, job.Kind.WORKFLOW, steps=(needs,)))
@@ -146,7 +156,7 @@
     assert cell.tables.attempts
 
 
-def test_a_start_that_is_confirmed_clears_what_was_unconfirmed_before():
+def test_confirmed_start_clears_earlier_unconfirmed_ones():
     cell = lasting_cell(targets=1)
     for _ in range(3):
         attempt = cell_test.only(cell.tables.attempts.values())
--- a/mulberrywalk/core/foresight_test.py
+++ b/mulberrywalk/core/foresight_test.py
@@ -17,9 +17,9 @@
 def submit(cell, **more):
     needs = cell_test.step(1, **more)
     cell.submit(workflow_test.workflow(needs, queue='q'))
-    question = cell_test.only(workflow_test.questions(cell.dispatch()))
-    workflow_test.advise(cell, question, *question.targets)
-    return cell_test.only(workflow_test.started(cell.dispatch()))
+    question = cell_test.only(workflow_test.advice_requests(cell.dispatch()))
+    workflow_test.answer_advice(cell, question, *question.targets)
+    return cell_test.only(workflow_test.started_attempts(cell.dispatch()))
 
 
 @pytest.fixture
@@ -39,28 +39,28 @@
 def test_what_is_lost_with_a_silent_target_does_not_wait_for_advice(cell):
     attempt = submit(cell, is_lasting=True)
     fall_silent(cell, attempt)
-    assert not workflow_test.questions(cell.dispatch(OVER_MS - 1000))
-    asked = workflow_test.questions(cell.dispatch(800))
+    assert not workflow_test.advice_requests(cell.dispatch(OVER_MS - 1000))
+    asked = workflow_test.advice_requests(cell.dispatch(800))
     question = cell_test.only(asked)
     assert attempt.target not in question.targets
-    workflow_test.advise(cell, question, *question.targets)
-    assert not workflow_test.questions(cell.dispatch(100))
+    workflow_test.answer_advice(cell, question, *question.targets)
+    assert not workflow_test.advice_requests(cell.dispatch(100))
     cell.apply(event.SessionExpired, attempt.session)
-    again = cell_test.only(workflow_test.started(cell.dispatch(100)))
+    again = cell_test.only(workflow_test.started_attempts(cell.dispatch(100)))
     assert again.target != attempt.target
 
 
 def test_nothing_is_asked_for_work_that_ends_by_itself(cell):
     attempt = submit(cell)
     fall_silent(cell, attempt)
-    assert not workflow_test.questions(cell.dispatch(OVER_MS - 200))
+    assert not workflow_test.advice_requests(cell.dispatch(OVER_MS - 200))
 
 
 def test_nothing_is_asked_for_a_target_that_is_heard_again(cell):
     attempt = submit(cell, is_lasting=True)
     fall_silent(cell, attempt)
     cell.apply(event.SilenceNoted, attempt.session, 0)
-    assert not workflow_test.questions(cell.dispatch(OVER_MS - 200))
+    assert not workflow_test.advice_requests(cell.dispatch(OVER_MS - 200))
 
 
 def test_a_restored_state_knows_which_targets_are_silent(cell):
--- a/mulberrywalk/core/session_test.py
+++ b/mulberrywalk/core/session_test.py
@@ -1,4 +1,4 @@
-"""Targets that come and leave."""
+"""Sessions of targets that join, leave or fall silent."""
 
 from . import cell_test, effect, event, job
 
@@ -18,10 +18,10 @@
 
 def test_task_is_set_aside_when_no_kind_of_target_fits():
     cell = cell_test.Cell()
-    told = cell.submit(cell_test.specify(1, millicores=50_000))
+    accepted = cell.submit(cell_test.specify(1, millicores=50_000))
     assert not cell.tables.waiting.aside
     cell.open_session(0)
-    assert set(cell.tables.waiting.aside) == {job.task_id(told.job, 0)}
+    assert set(cell.tables.waiting.aside) == {job.task_id(accepted.job, 0)}
 
 
 def test_impossible_job_blocks_nobody():
@@ -33,7 +33,7 @@
     assert cell.task(fitting.job).state is job.TaskState.PLACED
 
 
-def test_a_silent_target_takes_no_new_work_until_it_is_heard():
+def test_silent_target_gets_no_new_work_until_it_is_heard():
     cell = cell_test.Cell(targets=1)
     session = cell_test.only(cell.tables.sessions)
     cell.apply(event.SilenceNoted, session, 1200)
@@ -45,7 +45,7 @@
     assert len(cell.tables.attempts) == 1
 
 
-def test_a_new_session_of_a_silent_target_takes_work():
+def test_new_session_of_a_silent_target_gets_work():
     cell = cell_test.Cell(targets=1)
     session = cell_test.only(cell.tables.sessions)
     cell.apply(event.SilenceNoted, session, 1200)
