--- a/mulberrywalk/core/confirmation.py
+++ b/mulberrywalk/core/confirmation.py
@@ -1,8 +1,9 @@
 """Stops attempts whose start is not confirmed in time.
 
 A target may answer status requests and yet carry out no orders, and orders
-may be lost or late. An attempt blocks its task until it is known not to run,
-so each step towards the next attempt needs a timeout. Members of a gang wait
+may be lost or late while much lasting work is placed again. An attempt blocks
+its task until it is known not to run, so each step towards the next attempt
+needs a timeout. Members of a gang wait
 for each other and give up by themselves after some seconds; stopping them
 earlier lets the whole gang run again sooner.
 """
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -306,7 +306,10 @@
 
 
 def _is_target_at_fault(attempt: job.Attempt, reason: job.EndReason) -> bool:
-    """Return whether the target failed to carry out or refused a start."""
+    """Return whether the target failed to carry out a start, whatever its task.
+
+    Only an end without a start counts: a refusal, or a start not confirmed.
+    """
     is_unconfirmed = attempt.stopping is job.StopReason.UNCONFIRMED
     is_unstarted = reason is job.EndReason.NEVER_STARTED and is_unconfirmed
     return is_unstarted or reason is job.EndReason.REFUSED
