--- a/mulberrywalk/core/absence.py
+++ b/mulberrywalk/core/absence.py
@@ -109,7 +109,7 @@
     silence = tables.targets[attempt.target].silence
     if silence is None:
         return 0
-    return max(silence.heard_at(), attempt.started_at)
+    return max(silence.last_heard_at(), attempt.started_at)
 
 
 def has_run(ended: job.AttemptRecord) -> bool:
@@ -254,7 +254,7 @@
 def _find_silent(tables: state.State) -> dict[identity.TargetId, int]:
     """Return the silent targets, and when each was last heard."""
     return {
-        record.target: record.silence.heard_at()
+        record.target: record.silence.last_heard_at()
         for record in tables.targets.values()
         if record.silence is not None
     }
--- a/mulberrywalk/core/absence_test.py
+++ b/mulberrywalk/core/absence_test.py
@@ -5,7 +5,7 @@
 from . import absence, cell_test, event, job, snapshot
 
 NAME = '0123456789abcdef'
-TERMS = job.AdviceTerms(decision_ms=20, per_target_us=300, valid_ms=2500)
+TERMS = job.AdviceSettings(decision_ms=20, per_target_us=300, valid_ms=2500)
 # All of what a target of the cell has.
 WHOLE = 4000
 
--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -189,7 +189,7 @@
     refusal: outcome.NotRun,
 ) -> outcome.Outcome:
     forget_refusals(tables)
-    if len(tables.refusals) >= state.REFUSALS_KEPT:
+    if len(tables.refusals) >= state.MAX_REFUSAL_RECORDS:
         # It cannot be remembered, so a late copy might run after all.
         return outcome.Unavailable(
             refusal.reason, refusal.detail, _RETRY_AFTER_MS
@@ -204,7 +204,7 @@
 
 def forget_refusals(tables: state.State) -> None:
     """Drop the refusals that no copy can be late for any more."""
-    oldest_kept = tables.time - state.REFUSAL_KEPT_MS
+    oldest_kept = tables.time - state.REFUSAL_RETENTION_MS
     while tables.refusals:
         request = next(iter(tables.refusals))
         if tables.refusals[request].at >= oldest_kept:
--- a/mulberrywalk/core/advice.py
+++ b/mulberrywalk/core/advice.py
@@ -102,7 +102,7 @@
 def _tell_question(tables: state.State, step: job.Step) -> str:
     """Return how long ago a question was asked, zero for one given up."""
     asked_ms = step.asked_at and tables.time - step.asked_at
-    return effect.detail({'asked_ms_ago': asked_ms})
+    return effect.format_detail({'asked_ms_ago': asked_ms})
 
 
 def _choose(
@@ -151,7 +151,7 @@
     room = resource.count_fitting(needs.demand(), load.free, job.MAX_TASKS)
     if not needs.per_target_limit:
         return room
-    present = state.count_on(tables, step.step, load.target)
+    present = state.count_step_attempts(tables, step.step, load.target)
     return min(room, needs.per_target_limit - present)
 
 
@@ -166,12 +166,12 @@
     return bool(step.asked_at) and tables.time < step.asked_at + patience
 
 
-def longest_ms(terms: job.AdviceTerms) -> int:
+def longest_ms(terms: job.AdviceSettings) -> int:
     """Return what the answer to the largest question takes, in milliseconds."""
     return _expected_ms(terms, MOST_ASKED)
 
 
-def _expected_ms(terms: job.AdviceTerms, count: int) -> int:
+def _expected_ms(terms: job.AdviceSettings, count: int) -> int:
     return terms.decision_ms + terms.per_target_us * count // _US_PER_MS
 
 
--- a/mulberrywalk/core/configuration.py
+++ b/mulberrywalk/core/configuration.py
@@ -95,10 +95,10 @@
     objective_ms: int
     slack_percent: int
     max_failures: int
-    advice: job.AdviceTerms | None = None
+    advice: job.AdviceSettings | None = None
 
 
-class PoolTerms(msgspec.Struct, frozen=True):
+class PoolSettings(msgspec.Struct, frozen=True):
     """A group of targets; a standby pool is switched off."""
 
     name: str
@@ -113,7 +113,7 @@
 
     version: int = 0
     queues: tuple[Queue, ...] = ()
-    pools: tuple[PoolTerms, ...] = ()
+    pools: tuple[PoolSettings, ...] = ()
     max_body_bytes: int = 0
     source: str = ''
 
@@ -181,7 +181,7 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def find_fault(routing: Routing) -> str:
+def find_routing_error(routing: Routing) -> str:
     """Return why a routing is invalid, or nothing."""
     pools = {pool.name for pool in routing.pools}
     unknown = [one.name for one in routing.queues if one.pool not in pools]
--- a/mulberrywalk/core/amendment.py
+++ b/mulberrywalk/core/configuration_update.py
@@ -39,7 +39,7 @@
 
     One of a version that is not higher is acknowledged and changes nothing.
     """
-    fault = configuration.find_fault(replaced.routing)
+    fault = configuration.find_routing_error(replaced.routing)
     if fault:
         return outcome.NotRun(outcome.RefusalReason.INVALID_ROUTING, fault)
     current = tables.configuration
@@ -90,5 +90,5 @@
     tables: state.State, request_id: str, record: state.PatchRecord
 ) -> None:
     tables.patches[request_id] = record
-    if len(tables.patches) > state.PATCHES_KEPT:
+    if len(tables.patches) > state.MAX_PATCH_RECORDS:
         tables.patches.pop(next(iter(tables.patches)))
--- a/mulberrywalk/core/confirmation.py
+++ b/mulberrywalk/core/confirmation.py
@@ -57,7 +57,7 @@
     Not while nobody led, and not in a silence of the target.
     """
     changed_at = tables.targets[attempt.target].silence_changed_at
-    return max(attempt.placed_at, tables.led_from, changed_at)
+    return max(attempt.placed_at, tables.leader_since, changed_at)
 
 
 def _stop_gang(tables: state.State, step: job.Step) -> None:
--- a/mulberrywalk/core/confirmation_test.py
+++ b/mulberrywalk/core/confirmation_test.py
@@ -86,7 +86,7 @@
     cell.apply(event.LeadershipBegun)
     assert not stopped(cell.dispatch(confirmation.PATIENCE_MS - 1))
     restored = snapshot.decode(snapshot.encode(cell.tables))
-    assert restored.led_from == cell.tables.led_from
+    assert restored.leader_since == cell.tables.leader_since
     assert stopped(cell.dispatch(1)) == [attempt.attempt]
 
 
--- a/mulberrywalk/core/dispatch.py
+++ b/mulberrywalk/core/dispatch.py
@@ -54,7 +54,7 @@
     """Release what is due and place all that fits."""
     workflow.release_due(tables)
     tables.waiting.stuck.clear()
-    health.release_due(tables)
+    health.end_due_quarantines(tables)
     admission.forget_finished(tables)
     gang.review(tables)
     if tables.waiting.steps:
@@ -76,7 +76,7 @@
 
 
 def _serve_queues(tables: state.State) -> None:
-    fairness = share.assess(tables)
+    fairness = share.compute_fair_shares(tables)
     turns = [turn_of(tables, key, fairness) for key in tables.waiting.queues]
     heapq.heapify(turns)
     while turns:
@@ -91,14 +91,14 @@
 
 
 def turn_of(
-    tables: state.State, key: waiting.QueueKey, fairness: share.Fairness
+    tables: state.State, key: waiting.QueueKey, fairness: share.FairShares
 ) -> Turn:
     """Return the turn of a queue by the present usage."""
     document = tables.configuration.document
     weight = configuration.team_limits(document, key.team).weight
     used = share.of_team(tables, key.team)
     weighted = used * configuration.NORMAL_WEIGHT // weight
-    due = fairness.due(weight)
+    due = fairness.entitlement(weight)
     is_above_due = used >= due
     return Turn(
         share.is_above_floor(tables, _URGENCIES[key.rank]),
--- a/mulberrywalk/core/duration.py
+++ b/mulberrywalk/core/duration.py
@@ -12,13 +12,15 @@
 def of_wait(tables: state.State, task: job.Task) -> str:
     """Return how long a task that is placed has waited."""
     waited_ms = tables.time - task.waiting_since
-    return effect.detail({'waited_ms': waited_ms, **_absent(tables, task)})
+    return effect.format_detail(
+        {'waited_ms': waited_ms, **_absent(tables, task)}
+    )
 
 
 def of_start(tables: state.State, attempt: job.Attempt) -> str:
     """Return how long ago an attempt that is confirmed was placed."""
     told = _placed(tables, attempt)
-    return effect.detail(
+    return effect.format_detail(
         {**told, **_absent(tables, tables.tasks[attempt.task])}
     )
 
@@ -39,8 +41,8 @@
         told['lost_ms'] = tables.time - attempt.lost_at
     silence = tables.targets[attempt.target].silence
     if silence is not None:
-        told['silent_ms'] = tables.time - silence.heard_at()
-    words = (ended.reason.value, ended.detail, effect.detail(told))
+        told['silent_ms'] = tables.time - silence.last_heard_at()
+    words = (ended.reason.value, ended.detail, effect.format_detail(told))
     return ' '.join(word for word in words if word)
 
 
--- a/mulberrywalk/core/duration_test.py
+++ b/mulberrywalk/core/duration_test.py
@@ -98,7 +98,7 @@
 
 def test_advice_tells_how_long_its_question_was_open():
     cell = cell_test.Cell(targets=1)
-    terms = job.AdviceTerms(decision_ms=20, per_target_us=300, valid_ms=2500)
+    terms = job.AdviceSettings(decision_ms=20, per_target_us=300, valid_ms=2500)
     name = '0123456789abcdef'
     cell.submit(cell_test.specify(1, job.Kind.WORKFLOW, job=name, advice=terms))
     cell.dispatch()
--- a/mulberrywalk/core/effect.py
+++ b/mulberrywalk/core/effect.py
@@ -9,7 +9,7 @@
 from . import identity, job, outcome
 
 
-def detail(told: Mapping[str, int | str]) -> str:
+def format_detail(told: Mapping[str, int | str]) -> str:
     """Return names and what they stand for as the detail of a line."""
     return ' '.join(f'{name}={amount}' for name, amount in told.items())
 
--- a/mulberrywalk/core/evacuation.py
+++ b/mulberrywalk/core/evacuation.py
@@ -19,7 +19,7 @@
     tables: state.State, session: identity.SessionId, remaining_ms: int
 ) -> None:
     """Stop what would not end within the remaining time, to go on elsewhere."""
-    for name in sorted(tables.by_session.get(session, ())):
+    for name in sorted(tables.attempts_by_session.get(session, ())):
         attempt = tables.attempts[name]
         if attempt.started_at and not _ends_in(tables, attempt, remaining_ms):
             lifecycle.stop(tables, attempt, job.StopReason.EVACUATED)
--- a/mulberrywalk/core/foresight.py
+++ b/mulberrywalk/core/foresight.py
@@ -28,7 +28,7 @@
 
 def _prepare(tables: state.State, session: identity.SessionId) -> None:
     over_at = _ends_at(tables, session)
-    attempts = sorted(tables.by_session.get(session, ()))
+    attempts = sorted(tables.attempts_by_session.get(session, ()))
     steps = dict.fromkeys(
         tables.tasks[tables.attempts[name].task].step_id() for name in attempts
     )
@@ -42,8 +42,8 @@
     """Return when the lease of a silent target is known to have run out."""
     known = tables.sessions[session]
     silence = tables.targets[known.target].silence
-    heard_at = silence.heard_at() if silence else tables.time
-    return heard_at + known.lease_ms + target.MARGIN_MS
+    heard_at = silence.last_heard_at() if silence else tables.time
+    return heard_at + known.lease_ms + target.LEASE_MARGIN_MS
 
 
 def _is_wanted(
--- a/mulberrywalk/core/health.py
+++ b/mulberrywalk/core/health.py
@@ -14,7 +14,7 @@
     record = tables.targets[name]
     if record.health != target.Health():
         _replace(tables, record, target.Health())
-        refresh(tables, name)
+        refresh_index(tables, name)
 
 
 def record_failure(tables: state.State, name: identity.TargetId) -> None:
@@ -40,10 +40,10 @@
     _replace(tables, record, target.Health(failures, health.level + 1, until))
     tables.quarantined.add((until, name))
     tables.emit(effect.Trace('quarantined', target=name, detail=f'{pause} ms'))
-    refresh(tables, name)
+    refresh_index(tables, name)
 
 
-def distrust(tables: state.State, name: identity.TargetId) -> None:
+def mark_unsteady(tables: state.State, name: identity.TargetId) -> None:
     """Let a target that was lost, or starts nothing, be used after others."""
     until = tables.time + target.UNSTEADY_MS
     tables.targets[name] = msgspec.structs.replace(
@@ -51,15 +51,15 @@
     )
 
 
-def release_due(tables: state.State) -> None:
+def end_due_quarantines(tables: state.State) -> None:
     """Let the targets whose quarantine has ended run one probe."""
     while tables.quarantined and tables.quarantined[0][0] <= tables.time:
         _, name = tables.quarantined.pop(0)
         if name in tables.fleet.loads:
-            refresh(tables, name)
+            refresh_index(tables, name)
 
 
-def refresh(tables: state.State, name: identity.TargetId) -> None:
+def refresh_index(tables: state.State, name: identity.TargetId) -> None:
     """Bring the index in line with a target's record."""
     record = tables.targets[name]
     load = tables.fleet.loads[name]
@@ -79,7 +79,7 @@
         trials={
             name
             for name in load.attempts
-            if state.is_trial(tables, tables.attempts[name], record.health)
+            if state.is_probe(tables, tables.attempts[name], record.health)
         },
     )
 
--- a/mulberrywalk/core/job.py
+++ b/mulberrywalk/core/job.py
@@ -11,28 +11,28 @@
 from . import identity, resource
 
 # The largest whole number of 64 bits with a sign, which the log holds.
-MAX_WHOLE = 9_223_372_036_854_775_807
+MAX_INT64 = 9_223_372_036_854_775_807
 MAX_TASKS = 5000
-MAX_NAME = 128
-MAX_PAYLOAD = 65_536
+MAX_NAME_LENGTH = 128
+MAX_PAYLOAD_LENGTH = 65_536
 # The answers of all tasks of a job together, in characters.
-MAX_ANSWERS = 16_777_216
+MAX_ANSWERS_LENGTH = 16_777_216
 MAX_RUN_MS = 604_800_000
 MAX_MILLICORES = 1_000_000
 MAX_MEMORY_BYTES = 1_125_899_906_842_624
 MAX_ACCELERATORS = 1024
 MAX_STEPS = 64
 MAX_OCCURRENCES = 100_000
-MAX_LABEL = 256
+MAX_LABEL_LENGTH = 256
 
 Name = Annotated[
     str,
     msgspec.Meta(
-        min_length=1, max_length=MAX_NAME, pattern='^[A-Za-z0-9._:@/-]+$'
+        min_length=1, max_length=MAX_NAME_LENGTH, pattern='^[A-Za-z0-9._:@/-]+$'
     ),
 ]
 
-Whole = Annotated[int, msgspec.Meta(ge=-MAX_WHOLE, le=MAX_WHOLE)]
+Int64 = Annotated[int, msgspec.Meta(ge=-MAX_INT64, le=MAX_INT64)]
 
 
 class Kind(enum.StrEnum):
@@ -111,7 +111,7 @@
 
 
 # Ends of what has never run.
-UNSTARTED = frozenset((EndReason.NEVER_STARTED, EndReason.REFUSED))
+NEVER_RAN_REASONS = frozenset((EndReason.NEVER_STARTED, EndReason.REFUSED))
 
 
 class StopReason(enum.StrEnum):
@@ -141,7 +141,7 @@
     memory_bytes: Annotated[int, msgspec.Meta(ge=0, le=MAX_MEMORY_BYTES)]
     accelerators: Annotated[int, msgspec.Meta(ge=0, le=MAX_ACCELERATORS)] = 0
     estimate_ms: Annotated[int, msgspec.Meta(ge=1, le=MAX_RUN_MS)] = 60_000
-    payload: Annotated[str, msgspec.Meta(max_length=MAX_PAYLOAD)] = ''
+    payload: Annotated[str, msgspec.Meta(max_length=MAX_PAYLOAD_LENGTH)] = ''
 
     def demand(self) -> resource.Resources:
         """Return the amounts that the task declares, one slot included."""
@@ -168,17 +168,17 @@
     memory_bytes: Annotated[int, msgspec.Meta(ge=0, le=MAX_MEMORY_BYTES)] = 0
     accelerators: Annotated[int, msgspec.Meta(ge=0, le=MAX_ACCELERATORS)] = 0
     estimate_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_RUN_MS)] = 0
-    after: tuple[Whole, ...] = ()
+    after: tuple[Int64, ...] = ()
     is_gang: bool = msgspec.field(name='gang', default=False)
     is_checkpointing: bool = msgspec.field(name='checkpointing', default=False)
     is_lasting: bool = msgspec.field(name='lasting', default=False)
     is_filler: bool = msgspec.field(name='filler', default=False)
     is_speculative: bool = msgspec.field(name='speculative', default=False)
     is_rack_local: bool = msgspec.field(name='rack_local', default=False)
-    label: Annotated[str, msgspec.Meta(max_length=MAX_LABEL)] = ''
-    data_rack: Annotated[str, msgspec.Meta(max_length=MAX_LABEL)] = ''
+    label: Annotated[str, msgspec.Meta(max_length=MAX_LABEL_LENGTH)] = ''
+    data_rack: Annotated[str, msgspec.Meta(max_length=MAX_LABEL_LENGTH)] = ''
     per_target_limit: Annotated[int, msgspec.Meta(ge=0, le=MAX_TASKS)] = 0
-    image: Annotated[str, msgspec.Meta(max_length=MAX_LABEL)] = ''
+    image: Annotated[str, msgspec.Meta(max_length=MAX_LABEL_LENGTH)] = ''
     latency_target_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_RUN_MS)] = 0
     planned_absences: Annotated[int, msgspec.Meta(ge=0, le=MAX_TASKS)] = 0
 
@@ -192,7 +192,7 @@
         )
 
 
-class AdviceTerms(
+class AdviceSettings(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True, gc=False
 ):
     """What an answer of the adviser of a queue costs and how long it holds."""
@@ -207,7 +207,7 @@
 ):
     """When the steps run: occurrence K is due at first_at + K interval_ms."""
 
-    first_at: Annotated[int, msgspec.Meta(ge=0, le=MAX_WHOLE)]
+    first_at: Annotated[int, msgspec.Meta(ge=0, le=MAX_INT64)]
     interval_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_RUN_MS)]
     count: Annotated[int, msgspec.Meta(ge=1, le=MAX_OCCURRENCES)]
 
@@ -235,14 +235,14 @@
     steps: Annotated[
         tuple[StepSpecification, ...], msgspec.Meta(max_length=MAX_STEPS)
     ] = ()
-    job: Annotated[str, msgspec.Meta(max_length=MAX_NAME)] = ''
-    queue: Annotated[str, msgspec.Meta(max_length=MAX_NAME)] = ''
-    pool: Annotated[str, msgspec.Meta(max_length=MAX_NAME)] = ''
-    payload: Annotated[str, msgspec.Meta(max_length=MAX_PAYLOAD)] = ''
+    job: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)] = ''
+    queue: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)] = ''
+    pool: Annotated[str, msgspec.Meta(max_length=MAX_NAME_LENGTH)] = ''
+    payload: Annotated[str, msgspec.Meta(max_length=MAX_PAYLOAD_LENGTH)] = ''
     max_failures: Annotated[int, msgspec.Meta(ge=0, le=MAX_TASKS)] = 0
     objective_ms: Annotated[int, msgspec.Meta(ge=0, le=MAX_RUN_MS)] = 0
     slack_percent: Annotated[int, msgspec.Meta(ge=0, le=MAX_TASKS)] = 100
-    advice: AdviceTerms | None = None
+    advice: AdviceSettings | None = None
     recurrence: Recurrence | None = None
 
     def count_tasks(self) -> int:
@@ -395,7 +395,7 @@
     is_abandoned: bool = False
 
 
-class Fault(NamedTuple):
+class FieldError(NamedTuple):
     """Why a specification is invalid, and in which field."""
 
     field: str
@@ -407,7 +407,9 @@
 
     The whole answer of a job has to fit into one message.
     """
-    return min(MAX_PAYLOAD, MAX_ANSWERS // specification.count_tasks())
+    return min(
+        MAX_PAYLOAD_LENGTH, MAX_ANSWERS_LENGTH // specification.count_tasks()
+    )
 
 
 def task_id(job: identity.JobId, number: int) -> identity.TaskId:
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -273,7 +273,7 @@
 ) -> None:
     record = tables.jobs[task.job]
     if reason is job.EndReason.COMPLETED:
-        retry.credit(tables, record.specification.team)
+        retry.credit_budget(tables, record.specification.team)
         health.record_success(tables, attempt.target)
         tables.jobs[task.job] = msgspec.structs.replace(
             record, completions=record.completions + 1
@@ -281,7 +281,7 @@
     elif reason is job.EndReason.FAILED:
         _blame(tables, attempt, record)
     elif _is_target_at_fault(attempt, reason):
-        health.distrust(tables, attempt.target)
+        health.mark_unsteady(tables, attempt.target)
 
 
 def _blame(tables: state.State, attempt: job.Attempt, record: job.Job) -> None:
@@ -308,7 +308,7 @@
 def _may_run_again(
     specification: job.Specification, reason: job.EndReason
 ) -> bool:
-    if reason in job.UNSTARTED:
+    if reason in job.NEVER_RAN_REASONS:
         return True
     if reason is job.EndReason.ANSWER_TOO_LARGE:
         return False
@@ -324,7 +324,7 @@
     not_before = 0
     if reason in {job.EndReason.FAILED, job.EndReason.COMPLETED}:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
-        not_before = tables.time + retry.delay(
+        not_before = tables.time + retry.charge_retry(
             tables, tables.specification(task).team, task.failures
         )
     elif reason is job.EndReason.SESSION_LOST and attempt.started_at:
--- a/mulberrywalk/core/lifecycle_test.py
+++ b/mulberrywalk/core/lifecycle_test.py
@@ -54,7 +54,7 @@
     told = cell.submit(cell_test.specify(1))
     cell.dispatch()
     attempt = next(iter(cell.tables.attempts.values()))
-    answer = 'x' * (job.MAX_PAYLOAD + 1)
+    answer = 'x' * (job.MAX_PAYLOAD_LENGTH + 1)
     end = event.AttemptEnd(
         attempt.attempt, job.EndReason.COMPLETED, cell.now, answer
     )
--- a/mulberrywalk/core/placement.py
+++ b/mulberrywalk/core/placement.py
@@ -112,7 +112,7 @@
             candidates,
             key=lambda load: (
                 min(
-                    resource.parts(
+                    resource.shares(
                         resource.subtract(load.free, request.demand),
                         load.capacity,
                     )
--- a/mulberrywalk/core/preemption.py
+++ b/mulberrywalk/core/preemption.py
@@ -40,7 +40,7 @@
     if waited_ms < _PATIENCE_MS:
         return
     wanted = min(_MAX_IN_FLIGHT, tables.waiting.counts[key])
-    if tables.preempting >= wanted:
+    if tables.preempting_attempts >= wanted:
         return
     victim = choose_victim(tables, urgency, task)
     if victim is not None:
@@ -72,7 +72,9 @@
     demand: resource.Resources,
     kept_for: identity.JobId | None,
 ) -> job.Attempt | None:
-    latest = itertools.islice(reversed(tables.by_urgency[urgency]), _SCANNED)
+    latest = itertools.islice(
+        reversed(tables.attempts_by_urgency[urgency]), _SCANNED
+    )
     return next(
         (
             tables.attempts[name]
--- a/mulberrywalk/core/queueing.py
+++ b/mulberrywalk/core/queueing.py
@@ -10,7 +10,7 @@
 def wait(tables: state.State, task: job.Task) -> None:
     """Put a task into its queue, or aside, or among the delayed."""
     tables.tasks[task.task] = task
-    state.note_absence(tables, task)
+    state.mark_absent(tables, task)
     tables.waiting.count(key_of(tables, task), 1)
     if task.not_before > tables.time:
         tables.waiting.delayed.add((task.not_before, task.task))
--- a/mulberrywalk/core/reducer.py
+++ b/mulberrywalk/core/reducer.py
@@ -13,7 +13,7 @@
 from . import (
     admission,
     advice,
-    amendment,
+    configuration_update,
     confirmation,
     dispatch,
     effect,
@@ -68,7 +68,7 @@
 def _resume(
     tables: state.State, occurred: event.LeadershipBegun
 ) -> outcome.Outcome:
-    tables.led_from = tables.time
+    tables.leader_since = tables.time
     return outcome.Recorded()
 
 
@@ -82,7 +82,7 @@
     tables: state.State, occurred: event.ReportReceived
 ) -> outcome.Outcome:
     recorded = session.report(tables, occurred)
-    usage.correct(tables, occurred)
+    usage.apply_reported_usage(tables, occurred)
     return recorded
 
 
@@ -106,8 +106,8 @@
             event.SilenceNoted: _note_silence,
             event.DepartureAnnounced: _depart,
             event.ReportReceived: _report,
-            event.ConfigurationPatched: amendment.patch,
-            event.ConfigurationReplaced: amendment.replace,
+            event.ConfigurationPatched: configuration_update.patch,
+            event.ConfigurationReplaced: configuration_update.replace,
             event.AdviceReceived: advice.receive,
             event.TimePassed: _pass_time,
         }
--- a/mulberrywalk/core/resource.py
+++ b/mulberrywalk/core/resource.py
@@ -74,7 +74,7 @@
     )
 
 
-def lacking(demand: Resources, free: Resources) -> list[str]:
+def list_insufficient(demand: Resources, free: Resources) -> list[str]:
     """Return the names of the resources of which too little is free."""
     return [
         name
@@ -83,7 +83,7 @@
     ]
 
 
-def larger(left: Resources, right: Resources) -> Resources:
+def elementwise_max(left: Resources, right: Resources) -> Resources:
     """Return the larger amount of each resource."""
     return Resources(
         max(left.millicores, right.millicores),
@@ -93,7 +93,7 @@
     )
 
 
-def parts(amount: Resources, whole: Resources) -> list[int]:
+def shares(amount: Resources, whole: Resources) -> list[int]:
     """Return the part of each resource that is offered, in parts per million.
 
     Resources of which there are none are left out.
@@ -116,20 +116,20 @@
 
     The sum over the resources, in parts per million of what is offered.
     """
-    free_parts = parts(free, capacity)
-    return sum(free_parts) - len(free_parts) * min(free_parts)
+    free_shares = shares(free, capacity)
+    return sum(free_shares) - len(free_shares) * min(free_shares)
 
 
 def dominant_share(used: Resources, capacity: Resources) -> int:
     """Return the largest used part of any resource, in parts per million."""
     # Written out, because every turn of a queue asks for several shares.
     return max(
-        _part(used.millicores, capacity.millicores),
-        _part(used.memory_bytes, capacity.memory_bytes),
-        _part(used.accelerators, capacity.accelerators),
-        _part(used.slots, capacity.slots),
+        _share(used.millicores, capacity.millicores),
+        _share(used.memory_bytes, capacity.memory_bytes),
+        _share(used.accelerators, capacity.accelerators),
+        _share(used.slots, capacity.slots),
     )
 
 
-def _part(used: int, whole: int) -> int:
+def _share(used: int, whole: int) -> int:
     return used * PARTS_PER_MILLION // whole if whole > 0 else 0
--- a/mulberrywalk/core/resource_test.py
+++ b/mulberrywalk/core/resource_test.py
@@ -7,7 +7,7 @@
 
 def test_parts_leave_out_what_is_not_offered():
     half = resource.Resources(8000, 16_000, 0, 4)
-    assert resource.parts(half, WHOLE) == [500_000, 500_000, 500_000]
+    assert resource.shares(half, WHOLE) == [500_000, 500_000, 500_000]
 
 
 def test_stranded_is_nothing_when_all_is_free_alike():
--- a/mulberrywalk/core/retry.py
+++ b/mulberrywalk/core/retry.py
@@ -4,20 +4,20 @@
 
 from . import configuration, job, state
 
-TOKEN = 100
+TOKEN_UNITS = 100
 _LONGEST_DOUBLING = 6
 
 
-def credit(tables: state.State, team: str) -> None:
+def credit_budget(tables: state.State, team: str) -> None:
     """Credit a team's retry budget for an attempt that ended well."""
     limits = configuration.team_limits(tables.configuration.document, team)
-    full = tables.configuration.document.retry_burst * TOKEN
+    full = tables.configuration.document.retry_burst * TOKEN_UNITS
     tables.budgets[team] = min(
         full, tables.budgets.get(team, full) + limits.retry_percent
     )
 
 
-def delay(tables: state.State, team: str, failures: int) -> int:
+def charge_retry(tables: state.State, team: str, failures: int) -> int:
     """Take a retry from the team's budget and return its delay in ms.
 
     The delay doubles with each failure. A team without budget is not
@@ -25,13 +25,13 @@
     longest delay.
     """
     document = tables.configuration.document
-    full = document.retry_burst * TOKEN
+    full = document.retry_burst * TOKEN_UNITS
     left = tables.budgets.get(team, full)
     doubling = min(failures - 1, _LONGEST_DOUBLING)
-    if left < TOKEN:
+    if left < TOKEN_UNITS:
         doubling = _LONGEST_DOUBLING
     else:
-        tables.budgets[team] = left - TOKEN
+        tables.budgets[team] = left - TOKEN_UNITS
     return document.retry_first_ms << doubling
 
 
@@ -44,12 +44,12 @@
         return False
     document = tables.configuration.document
     return (
-        task.failures >= most_failures(tables, task)
+        task.failures >= failure_limit(tables, task)
         or task.losses >= document.max_losses
     )
 
 
-def most_failures(tables: state.State, task: job.Task) -> int:
+def failure_limit(tables: state.State, task: job.Task) -> int:
     """Return after how many failures a task is given up."""
     chosen = tables.specification(task).max_failures
     return chosen or tables.configuration.document.max_failures
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -77,14 +77,14 @@
     if identifier is None or identifier not in tables.sessions:
         return
     session = tables.sessions[identifier]
-    for attempt in sorted(tables.by_session.get(identifier, ())):
+    for attempt in sorted(tables.attempts_by_session.get(identifier, ())):
         lifecycle.end(
             tables,
             event.AttemptEnd(attempt, job.EndReason.SESSION_LOST, tables.time),
         )
     tables.sessions.pop(identifier)
     tables.session_counts[session.target] -= 1
-    tables.by_session.pop(identifier, None)
+    tables.attempts_by_session.pop(identifier, None)
     tables.emit(effect.EndSession(identifier))
     tables.emit(
         effect.Trace('session ended', target=session.target, detail=identifier)
@@ -109,9 +109,9 @@
         tables.targets[record.target] = msgspec.structs.replace(
             record, is_leaving=True
         )
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
         tables.emit(effect.Trace('leaving', target=record.target))
-    for name in sorted(tables.by_session.get(identifier, ())):
+    for name in sorted(tables.attempts_by_session.get(identifier, ())):
         attempt = tables.attempts[name]
         if not attempt.started_at:
             lifecycle.stop(tables, attempt, job.StopReason.RECALLED)
@@ -133,8 +133,8 @@
         tables.targets[record.target] = msgspec.structs.replace(
             record, silence=silence, silence_changed_at=tables.time
         )
-        health.distrust(tables, record.target)
-        health.refresh(tables, record.target)
+        health.mark_unsteady(tables, record.target)
+        health.refresh_index(tables, record.target)
         told = f'silent for {quiet_ms} ms' if quiet_ms else 'heard again'
         tables.emit(effect.Trace(told, target=record.target))
     return outcome.Recorded()
@@ -248,7 +248,7 @@
             labels=frozenset(record.labels),
         )
     )
-    health.refresh(tables, record.target)
+    health.refresh_index(tables, record.target)
 
 
 def _is_superseded(
@@ -282,7 +282,7 @@
     known = tables.targets.get(name)
     if known is None or known.silence is None:
         return tables.time
-    return known.silence.heard_at()
+    return known.silence.last_heard_at()
 
 
 def _carry_over(
@@ -302,7 +302,7 @@
         if one.target == session.target and one.session != session.session
     ]
     for name in earlier:
-        for attempt in sorted(tables.by_session.get(name, ())):
+        for attempt in sorted(tables.attempts_by_session.get(name, ())):
             _move(tables, tables.attempts[attempt], session.session, heard_at)
         end_session(tables, name)
 
@@ -324,7 +324,7 @@
     )
     state.remove_attempt(tables, attempt)
     state.add_attempt(tables, moved)
-    state.note_absence(tables, tables.tasks[moved.task])
+    state.mark_absent(tables, tables.tasks[moved.task])
     tables.emit(effect.StopAttempt(moved))
 
 
@@ -355,7 +355,7 @@
             record, session=None, is_leaving=False, silence=None
         )
         tables.targets[record.target] = record
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
     # Earlier sessions of the target may still hold capacity.
     if not tables.session_counts[record.target]:
         tables.session_counts.pop(record.target)
--- a/mulberrywalk/core/share.py
+++ b/mulberrywalk/core/share.py
@@ -11,22 +11,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fairness:
+class FairShares:
     """The teams that use or want capacity, by the sum of their weights."""
 
-    weights: int
+    total_weight: int
 
-    def due(self, weight: int) -> int:
+    def entitlement(self, weight: int) -> int:
         """Return the share that is due to a team of that weight."""
-        return resource.PARTS_PER_MILLION * weight // max(1, self.weights)
+        return resource.PARTS_PER_MILLION * weight // max(1, self.total_weight)
 
 
-def assess(tables: state.State) -> Fairness:
+def compute_fair_shares(tables: state.State) -> FairShares:
     """Return the fairness among the teams that are active now."""
     document = tables.configuration.document
     teams = {key.team for key in tables.waiting.queues}
     teams.update(tables.team_usage)
-    return Fairness(
+    return FairShares(
         sum(configuration.team_limits(document, team).weight for team in teams)
     )
 
--- a/mulberrywalk/core/snapshot.py
+++ b/mulberrywalk/core/snapshot.py
@@ -25,7 +25,7 @@
 RefusalItem = tuple[tuple[str, str], state.Refusal]
 
 
-class Image(msgspec.Struct, frozen=True):
+class SnapshotRecords(msgspec.Struct, frozen=True):
     """All records of a state, in the order of their identifiers."""
 
     time: int
@@ -47,7 +47,7 @@
 
 def encode(tables: state.State) -> bytes:
     """Return the records; equal states give equal bytes."""
-    image = Image(
+    image = SnapshotRecords(
         time=tables.time,
         sequence=tables.sequence,
         configuration=tables.configuration,
@@ -62,17 +62,17 @@
         refusals=list(tables.refusals.items()),
         steps=_ordered(tables.steps),
         durations=dict(sorted(tables.durations.items())),
-        led_from=tables.led_from,
+        led_from=tables.leader_since,
     )
     return msgspec.msgpack.encode(image)
 
 
 def decode(encoded: bytes) -> state.State:
     """Return a state with the records and all of its indexes."""
-    image = msgspec.msgpack.decode(encoded, type=Image)
+    image = msgspec.msgpack.decode(encoded, type=SnapshotRecords)
     tables = state.State(
         time=image.time,
-        led_from=image.led_from,
+        leader_since=image.led_from,
         sequence=image.sequence,
         configuration=image.configuration,
         jobs={record.job: record for record in image.jobs},
@@ -108,7 +108,7 @@
             tables.addresses[record.address] = record.target
         if record.health.until > tables.time:
             tables.quarantined.add((record.health.until, record.target))
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
 
 
 def _index_jobs(tables: state.State) -> None:
@@ -134,7 +134,7 @@
         queueing.wait(tables, task)
     for attempt in tables.attempts.values():
         if attempt.lost_at or not attempt.started_at:
-            state.note_absence(tables, tables.tasks[attempt.task])
+            state.mark_absent(tables, tables.tasks[attempt.task])
 
 
 def _restore_reservation(
--- a/mulberrywalk/core/staging.py
+++ b/mulberrywalk/core/staging.py
@@ -25,7 +25,7 @@
 
 # Targets that are looked at for a step without an adviser.
 _CANDIDATES = 64
-_SHUNNED_ENDS = job.UNSTARTED | {
+_SHUNNED_ENDS = job.NEVER_RAN_REASONS | {
     job.EndReason.FAILED,
     job.EndReason.SESSION_LOST,
     job.EndReason.LEASE_LAPSED,
@@ -183,7 +183,10 @@
         if limit:
             room = min(
                 room,
-                limit - state.count_on(tables, started.step.step, load.target),
+                limit
+                - state.count_step_attempts(
+                    tables, started.step.step, load.target
+                ),
             )
         chosen.extend(itertools.repeat(load, max(0, room)))
         if len(chosen) >= count:
@@ -226,7 +229,9 @@
     """Return what orders targets that are equally near."""
     needs = started.needs
     if needs.is_lasting:
-        siblings = state.count_on(tables, started.step.step, load.target)
+        siblings = state.count_step_attempts(
+            tables, started.step.step, load.target
+        )
         return siblings, -load.free.millicores
     if needs.is_filler:
         return _count_serving(tables, load), -load.free.millicores
@@ -252,7 +257,10 @@
     tables: state.State, step: job.Step, load: fleet.TargetLoad
 ) -> bool:
     limit = tables.step_specification(step).per_target_limit
-    return not limit or state.count_on(tables, step.step, load.target) < limit
+    return (
+        not limit
+        or state.count_step_attempts(tables, step.step, load.target) < limit
+    )
 
 
 def _find_shunned(task: job.Task) -> set[identity.TargetId]:
--- a/mulberrywalk/core/state.py
+++ b/mulberrywalk/core/state.py
@@ -25,10 +25,10 @@
     waiting,
 )
 
-PATCHES_KEPT = 10_000
-REFUSALS_KEPT = 20_000
+MAX_PATCH_RECORDS = 10_000
+MAX_REFUSAL_RECORDS = 20_000
 # Longer than an entry keeps a submission under way.
-REFUSAL_KEPT_MS = 30_000
+REFUSAL_RETENTION_MS = 30_000
 
 Queues: TypeAlias = dict[str, configuration.Queue]
 
@@ -113,10 +113,10 @@
         default_factory=dict
     )
     finished: SortedList = dataclasses.field(default_factory=SortedList)
-    by_session: dict[identity.SessionId, set[identity.AttemptId]] = (
+    attempts_by_session: dict[identity.SessionId, set[identity.AttemptId]] = (
         dataclasses.field(default_factory=lambda: collections.defaultdict(set))
     )
-    by_urgency: dict[job.Urgency, SortedList] = dataclasses.field(
+    attempts_by_urgency: dict[job.Urgency, SortedList] = dataclasses.field(
         default_factory=lambda: {
             urgency: SortedList() for urgency in job.Urgency
         }
@@ -131,7 +131,7 @@
     team_usage: dict[str, resource.Resources] = dataclasses.field(
         default_factory=dict
     )
-    preempting: int = 0
+    preempting_attempts: int = 0
     # Attempts of steps that have not started: when they were placed, and which.
     unconfirmed: SortedList = dataclasses.field(default_factory=SortedList)
     # The next occurrence of each job: when it is due, and the job.
@@ -151,7 +151,7 @@
         default_factory=dict
     )
     # When the present leader began.
-    led_from: int = 0
+    leader_since: int = 0
     # Targets in a silence.
     silent: set[identity.TargetId] = dataclasses.field(default_factory=set)
     # Tasks of lasting steps that wait, whose start is not confirmed, or whose
@@ -199,12 +199,12 @@
     task = state.tasks[attempt.task]
     specification = state.specification(task)
     state.attempts[attempt.attempt] = attempt
-    state.by_session[attempt.session].add(attempt.attempt)
-    state.by_urgency[specification.urgency].add(
+    state.attempts_by_session[attempt.session].add(attempt.attempt)
+    state.attempts_by_urgency[specification.urgency].add(
         (attempt.placed_at, attempt.attempt)
     )
     if attempt.stopping is job.StopReason.PREEMPTED:
-        state.preempting += 1
+        state.preempting_attempts += 1
     if _is_unconfirmed(state, task, attempt):
         state.unconfirmed.add((attempt.placed_at, attempt.attempt))
     _count_of_step(state, task, attempt, 1)
@@ -216,13 +216,13 @@
     task = state.tasks[attempt.task]
     specification = state.specification(task)
     state.attempts.pop(attempt.attempt)
-    session_attempts = state.by_session[attempt.session]
+    session_attempts = state.attempts_by_session[attempt.session]
     session_attempts.discard(attempt.attempt)
-    state.by_urgency[specification.urgency].remove(
+    state.attempts_by_urgency[specification.urgency].remove(
         (attempt.placed_at, attempt.attempt)
     )
     if attempt.stopping is job.StopReason.PREEMPTED:
-        state.preempting -= 1
+        state.preempting_attempts -= 1
     state.unconfirmed.discard((attempt.placed_at, attempt.attempt))
     _count_of_step(state, task, attempt, -1)
     _account(
@@ -252,7 +252,7 @@
     return getattr(needs, 'is_lasting', False)
 
 
-def note_absence(state: State, task: job.Task) -> None:
+def mark_absent(state: State, task: job.Task) -> None:
     """Note that a task does not run, if it is one that lasts."""
     if is_lasting(state, task):
         state.absent.add(task.task)
@@ -263,7 +263,7 @@
     return is_of_step and not attempt.started_at and attempt.stopping is None
 
 
-def count_on(
+def count_step_attempts(
     state: State, step: identity.StepId, target: identity.TargetId
 ) -> int:
     """Return how many live attempts of a step a target has."""
@@ -285,7 +285,7 @@
         state.step_loads.pop(name)
 
 
-def is_trial(state: State, attempt: job.Attempt, health: target.Health) -> bool:
+def is_probe(state: State, attempt: job.Attempt, health: target.Health) -> bool:
     """Return whether an attempt tells how a target does after quarantine.
 
     One that lasts tells nothing, for it does not complete.
@@ -315,7 +315,7 @@
     free = resource.subtract(load.free, held)
     if attempt.attempt in state.attempts:
         load.attempts.add(attempt.attempt)
-        if is_trial(state, attempt, state.targets[attempt.target].health):
+        if is_probe(state, attempt, state.targets[attempt.target].health):
             load.trials.add(attempt.attempt)
     else:
         load.attempts.discard(attempt.attempt)
--- a/mulberrywalk/core/target.py
+++ b/mulberrywalk/core/target.py
@@ -7,7 +7,7 @@
 from . import identity, resource
 
 LEASE_MS = 4000
-MARGIN_MS = 300
+LEASE_MARGIN_MS = 300
 # Longer than the silences of a target that comes and goes are apart.
 UNSTEADY_MS = 10_000
 
@@ -40,7 +40,7 @@
     quiet_ms: int
     noted_at: int
 
-    def heard_at(self) -> int:
+    def last_heard_at(self) -> int:
         """Return when the target was last heard, by the time of events."""
         return self.noted_at - self.quiet_ms
 
--- a/mulberrywalk/core/usage.py
+++ b/mulberrywalk/core/usage.py
@@ -7,7 +7,9 @@
 from . import effect, event, fleet, identity, job, lifecycle, resource, state
 
 
-def correct(tables: state.State, received: event.ReportReceived) -> None:
+def apply_reported_usage(
+    tables: state.State, received: event.ReportReceived
+) -> None:
     """Hold the larger of declared and used, and relieve a full target."""
     targets = {
         _correct_attempt(tables, used)
@@ -26,7 +28,7 @@
     task = tables.tasks[attempt.task]
     declared = tables.task_specification(task).demand()
     seen = resource.Resources(used.millicores, used.memory_bytes)
-    held = resource.larger(declared, seen)
+    held = resource.elementwise_max(declared, seen)
     if held != attempt.held:
         state.replace_attempt(
             tables, msgspec.structs.replace(attempt, held=held)
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -36,46 +36,46 @@
 _GANG_ENDS = frozenset(
     (
         job.EndReason.FAILED,
-        *job.UNSTARTED,
+        *job.NEVER_RAN_REASONS,
         job.EndReason.SESSION_LOST,
         job.EndReason.LEASE_LAPSED,
         job.EndReason.GANG_INCOMPLETE,
     )
 )
 
-Check = tuple[Callable[[job.Specification], bool], job.Fault]
+Check = tuple[Callable[[job.Specification], bool], job.FieldError]
 
 _TASK_CHECKS: tuple[Check, ...] = (
     (
         lambda specification: not specification.steps,
-        job.Fault('steps', 'only a workflow has steps'),
+        job.FieldError('steps', 'only a workflow has steps'),
     ),
     (
         lambda specification: bool(specification.tasks),
-        job.Fault('tasks', 'a job has at least one task'),
+        job.FieldError('tasks', 'a job has at least one task'),
     ),
 )
 _WORKFLOW_CHECKS: tuple[Check, ...] = (
     (
         lambda specification: not specification.tasks,
-        job.Fault('tasks', 'a workflow has steps and no tasks'),
+        job.FieldError('tasks', 'a workflow has steps and no tasks'),
     ),
     (
         lambda specification: bool(specification.steps),
-        job.Fault('steps', 'a workflow has at least one step'),
+        job.FieldError('steps', 'a workflow has at least one step'),
     ),
     (
         lambda specification: specification.is_idempotent,
-        job.Fault('idempotent', 'a workflow is idempotent'),
+        job.FieldError('idempotent', 'a workflow is idempotent'),
     ),
     (
         lambda specification: specification.count_tasks() <= job.MAX_TASKS,
-        job.Fault('steps', f'a job has at most {job.MAX_TASKS} tasks'),
+        job.FieldError('steps', f'a job has at most {job.MAX_TASKS} tasks'),
     ),
 )
 
 
-def find_fault(specification: job.Specification) -> job.Fault | None:
+def find_fault(specification: job.Specification) -> job.FieldError | None:
     """Return why the shape of a job is invalid, or None."""
     is_workflow = specification.kind is job.Kind.WORKFLOW
     checks = _WORKFLOW_CHECKS if is_workflow else _TASK_CHECKS
@@ -91,13 +91,13 @@
 
 def _find_step_fault(
     number: int, step: job.StepSpecification
-) -> job.Fault | None:
+) -> job.FieldError | None:
     if any(earlier not in range(number) for earlier in step.after):
-        return job.Fault(
+        return job.FieldError(
             f'steps[{number}].after', 'a step comes after earlier ones only'
         )
     if step.is_gang and step.is_lasting:
-        return job.Fault(f'steps[{number}].gang', 'a gang does not last')
+        return job.FieldError(f'steps[{number}].gang', 'a gang does not last')
     return None
 
 
@@ -328,7 +328,7 @@
 ) -> None:
     step = tables.steps[task.step_id()]
     needs = tables.step_specification(step)
-    if ended.reason in job.UNSTARTED:
+    if ended.reason in job.NEVER_RAN_REASONS:
         _drop_ticket(tables, step, attempt)
     if ended.reason is job.EndReason.FAILED:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
@@ -346,7 +346,7 @@
 def _restart_at(
     tables: state.State, task: job.Task, reason: job.EndReason
 ) -> int:
-    if reason in job.UNSTARTED:
+    if reason in job.NEVER_RAN_REASONS:
         return tables.time + _RESTART_MS
     if reason is not job.EndReason.FAILED or task.failures <= _FREE_FAILURES:
         return 0
@@ -361,7 +361,7 @@
     if needs.is_lasting:
         return False
     failures = step.failures if needs.is_gang else task.failures
-    return failures >= retry.most_failures(tables, task)
+    return failures >= retry.failure_limit(tables, task)
 
 
 def _break_gang(
--- a/mulberrywalk/core/workflow_test.py
+++ b/mulberrywalk/core/workflow_test.py
@@ -15,7 +15,7 @@
 )
 
 PREFIX = '0123456789abcdef'
-TERMS = job.AdviceTerms(decision_ms=20, per_target_us=300, valid_ms=2500)
+TERMS = job.AdviceSettings(decision_ms=20, per_target_us=300, valid_ms=2500)
 
 
 def workflow(*steps, **more):
@@ -215,7 +215,7 @@
         'q', 'h', '/q/', '', job.Urgency.HIGH, 3000, 250, 150, 2, TERMS
     )
     routing = configuration.Routing(
-        1, (queue,), (configuration.PoolTerms(''),), source='{}'
+        1, (queue,), (configuration.PoolSettings(''),), source='{}'
     )
     cell.apply(event.ConfigurationReplaced, routing)
     return cell
@@ -392,7 +392,7 @@
     cell = advised_cell()
     queue = cell.tables.queues['q']
     newer = configuration.Routing(
-        5, (queue,), (configuration.PoolTerms(''),), source='newer'
+        5, (queue,), (configuration.PoolSettings(''),), source='newer'
     )
     cell.apply(event.ConfigurationReplaced, newer)
     for version in (4, 5):
@@ -417,7 +417,7 @@
     changed = msgspec.structs.replace(queue, **changes)
     queues = (queue, changed) if 'name' in changes else (changed,)
     routing = configuration.Routing(
-        9, queues, (configuration.PoolTerms(''),), source='x'
+        9, queues, (configuration.PoolSettings(''),), source='x'
     )
     told = cell.apply(event.ConfigurationReplaced, routing)[0].outcome
     assert told.reason is outcome.RefusalReason.INVALID_ROUTING
--- a/mulberrywalk/entry/caller.py
+++ b/mulberrywalk/entry/caller.py
@@ -31,7 +31,7 @@
     """A JSON merge patch against a version of the configuration."""
 
     request_id: job.Name
-    version: Annotated[int, msgspec.Meta(ge=1, le=job.MAX_WHOLE)]
+    version: Annotated[int, msgspec.Meta(ge=1, le=job.MAX_INT64)]
     changes: dict[str, Any]
 
 
--- a/mulberrywalk/platform/bound.py
+++ b/mulberrywalk/platform/bound.py
@@ -14,7 +14,7 @@
 from ..core import job
 
 # The largest whole number of 64 bits with a sign, which the log holds.
-MOST_WHOLE = job.MAX_WHOLE
+MOST_WHOLE = job.MAX_INT64
 # The last millisecond of the year 9999, counted from 1970.
 LAST_MS = 253_402_300_799_999
 # Thousandths of a core: a million cores.
@@ -38,7 +38,7 @@
 _ID = re.compile(f'[!-~]{{1,{MOST_TEXT}}}')
 
 Port: TypeAlias = Annotated[int, msgspec.Meta(ge=1, le=_LAST_PORT)]
-Whole: TypeAlias = job.Whole
+Whole: TypeAlias = job.Int64
 Count: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=MOST_WHOLE)]
 # Milliseconds since 1970 of something that has happened.
 Moment: TypeAlias = Annotated[int, msgspec.Meta(ge=1, le=LAST_MS)]
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -196,7 +196,7 @@
             version=read.version,
             queues=tuple(_queue_of(route) for route in read.routes),
             pools=tuple(
-                configuration.PoolTerms(one.name, one.standby)
+                configuration.PoolSettings(one.name, one.standby)
                 for one in read.services
             ),
             max_body_bytes=read.limits.max_body_bytes,
@@ -369,11 +369,11 @@
     )
 
 
-def _terms_of(advice: Advice | None) -> job.AdviceTerms | None:
+def _terms_of(advice: Advice | None) -> job.AdviceSettings | None:
     if advice is None or not advice.valid_ms:
         return None
     per_worker_us = int(advice.per_worker_ms * _US_PER_MS)
-    return job.AdviceTerms(
+    return job.AdviceSettings(
         min(int(advice.decision_ms), job.MAX_RUN_MS),
         min(per_worker_us, job.MAX_RUN_MS),
         min(max(1, int(advice.valid_ms)), job.MAX_RUN_MS),
--- a/mulberrywalk/platform/wire_test.py
+++ b/mulberrywalk/platform/wire_test.py
@@ -91,7 +91,7 @@
         objective_ms=250,
         slack_percent=150,
         max_failures=3,
-        advice=job.AdviceTerms(44, 400, 2000),
+        advice=job.AdviceSettings(44, 400, 2000),
     )
 
 
--- a/mulberrywalk/replica/assignment.py
+++ b/mulberrywalk/replica/assignment.py
@@ -241,7 +241,9 @@
         record = tables.targets[session.target]
         attempts = (
             tables.attempts[name]
-            for name in sorted(tables.by_session.get(session.session, ()))
+            for name in sorted(
+                tables.attempts_by_session.get(session.session, ())
+            )
         )
         commands = [
             delivery.start_command(tables, attempt) for attempt in attempts
--- a/mulberrywalk/replica/delivery.py
+++ b/mulberrywalk/replica/delivery.py
@@ -63,7 +63,7 @@
     def resend_session(self, session: identity.SessionId, now: int) -> None:
         """Send again all that is unconfirmed of a session that has moved."""
         tables = self._engine.tables
-        for name in sorted(tables.by_session.get(session, ())):
+        for name in sorted(tables.attempts_by_session.get(session, ())):
             attempt = tables.attempts[name]
             if is_unconfirmed(attempt):
                 self._send_again(attempt, now)
--- a/mulberrywalk/replica/engine_test.py
+++ b/mulberrywalk/replica/engine_test.py
@@ -134,7 +134,7 @@
         'q', 'h', '/', 'p', job.Urgency.HIGH, 3000, 1, 100, 1
     )
     queue = msgspec.structs.replace(queue, **changes)
-    pool = configuration.PoolTerms('p')
+    pool = configuration.PoolSettings('p')
     routing = configuration.Routing(7, (queue,), (pool,))
     return event.ConfigurationReplaced(1, routing)
 
@@ -144,7 +144,7 @@
     opened(born_at=-(10**40)),
     routed(timeout_ms=10**300),
     # Written, it could be read by no replica.
-    routed(advice=job.AdviceTerms(-5, 1, 1)),
+    routed(advice=job.AdviceSettings(-5, 1, 1)),
 )
 
 
--- a/mulberrywalk/replica/lease.py
+++ b/mulberrywalk/replica/lease.py
@@ -119,4 +119,4 @@
 
     def _expires_at(self, session: identity.SessionId) -> int:
         length = self._length_of(session)
-        return self.renewed_at(session) + length + target.MARGIN_MS
+        return self.renewed_at(session) + length + target.LEASE_MARGIN_MS
--- a/mulberrywalk/replica/lease_test.py
+++ b/mulberrywalk/replica/lease_test.py
@@ -4,7 +4,7 @@
 from . import lease
 
 SESSION = identity.SessionId('s1')
-PATIENCE = target.LEASE_MS + target.MARGIN_MS
+PATIENCE = target.LEASE_MS + target.LEASE_MARGIN_MS
 
 
 def test_new_leader_lets_a_full_lease_pass():
--- a/mulberrywalk/replica/registry_test.py
+++ b/mulberrywalk/replica/registry_test.py
@@ -102,7 +102,7 @@
 
 
 def configure(running, *pools):
-    named = tuple(map(configuration.PoolTerms, pools))
+    named = tuple(map(configuration.PoolSettings, pools))
     routing = configuration.Routing(1, (), named)
     running.cell.apply(event.ConfigurationReplaced, routing)
 
--- a/mulberrywalk/replica/silence.py
+++ b/mulberrywalk/replica/silence.py
@@ -57,7 +57,7 @@
         self._heard_at = {
             name: self._heard_at.get(name, now) for name in sessions
         }
-        busy = self._engine.tables.by_session
+        busy = self._engine.tables.attempts_by_session
         self._busy_from = {
             name: self._busy_from.get(name, now)
             for name in sessions
--- a/mulberrywalk/replica/silence_test.py
+++ b/mulberrywalk/replica/silence_test.py
@@ -106,7 +106,7 @@
     # Of the second after the note, nine tenths are sure to have passed.
     assert scene.leases.renewed_at(engine.session) == 50_000 - 2900
     assert engine.proposed == [2900]
-    over = 50_000 - 2900 + target.LEASE_MS + target.MARGIN_MS
+    over = 50_000 - 2900 + target.LEASE_MS + target.LEASE_MARGIN_MS
     assert not scene.leases.expire([engine.session], over)
     assert scene.leases.expire([engine.session], over + 1)
 
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -178,7 +178,7 @@
     ]
     lacking = collections.Counter(
         itertools.chain.from_iterable(
-            resource.lacking(demand, amount) for amount in amounts
+            resource.list_insufficient(demand, amount) for amount in amounts
         )
     )
     return [name for name, _ in lacking.most_common()]
@@ -200,7 +200,7 @@
     tables: state.State, load: fleet.TargetLoad, demand: resource.Resources
 ) -> list[str]:
     record = tables.targets[identity.TargetId(load.target)]
-    conditions = resource.lacking(demand, load.free)
+    conditions = resource.list_insufficient(demand, load.free)
     if record.session is None:
         conditions.append('no_session')
     if record.is_leaving:
--- a/mulberrywalk/replica/watch.py
+++ b/mulberrywalk/replica/watch.py
@@ -78,4 +78,4 @@
         told['last_started'] = started
         told['last_held_ms'] = last.ended_at - last.placed_at
     stage = absent.stage.value
-    return f'{stage}: {effect.detail(told)}'
+    return f'{stage}: {effect.format_detail(told)}'
--- a/mulberrywalk/transport/reading.py
+++ b/mulberrywalk/transport/reading.py
@@ -19,7 +19,7 @@
 # How deeply free-form data may be nested, and the whole numbers in it: those of
 # 64 bits with a sign.
 MOST_NESTED = 16
-_MOST_WHOLE = job.MAX_WHOLE
+_MOST_WHOLE = job.MAX_INT64
 
 _UNREADABLE = (
     msgspec.MsgspecError,
