--- a/mulberrywalk/core/absence.py
+++ b/mulberrywalk/core/absence.py
@@ -214,8 +214,8 @@
         if key not in self._fitting:
             self._fitting[key] = [
                 load
-                for load in self._tables.fleet.roomiest(needs.demand())
-                if load.is_meant_for(pool, needs.label)
+                for load in self._tables.fleet.most_free(needs.demand())
+                if load.matches(pool, needs.label)
             ]
         if not needs.per_target_limit:
             return self._fitting[key]
@@ -230,7 +230,9 @@
         twice = resource.multiply(needs.demand(), ROOM)
         room = 0
         for load in self._room_of(step):
-            is_wide = resource.fits(twice, load.free) and not load.is_probed
+            is_wide = (
+                resource.fits(twice, load.free) and not load.is_on_probation
+            )
             left = self._left_on(step, needs, load)
             room += min(left, ROOM if is_wide else 1)
             if room >= ROOM:
--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -59,7 +59,7 @@
     if specification.kind is job.Kind.WORKFLOW:
         workflow.begin(tables, record)
     for number, _ in enumerate(specification.tasks):
-        queueing.wait(tables, _create_task(record, number))
+        queueing.add_task(tables, _create_task(record, number))
     tables.emit(
         effect.Trace(
             'accepted', job=record.job, detail=specification.request_id
@@ -86,7 +86,7 @@
     return outcome.Cancelled(record.job, tables.jobs[record.job].state)
 
 
-def forget_finished(tables: state.State) -> None:
+def prune_finished(tables: state.State) -> None:
     """Drop finished jobs past their retention, or above the bound."""
     document = tables.configuration.document
     oldest_kept = tables.time - document.finished_retention_ms
@@ -188,7 +188,7 @@
     submitted: event.JobSubmitted,
     refusal: outcome.NotRun,
 ) -> outcome.Outcome:
-    forget_refusals(tables)
+    prune_refusals(tables)
     if len(tables.refusals) >= state.REFUSALS_KEPT:
         # It cannot be remembered, so a late copy might run after all.
         return outcome.Unavailable(
@@ -202,7 +202,7 @@
     return refusal
 
 
-def forget_refusals(tables: state.State) -> None:
+def prune_refusals(tables: state.State) -> None:
     """Drop the refusals that no copy can be late for any more."""
     oldest_kept = tables.time - state.REFUSAL_KEPT_MS
     while tables.refusals:
--- a/mulberrywalk/core/foresight.py
+++ b/mulberrywalk/core/advice_prefetch.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from . import advice, identity, staging, state, target
+from . import advice, identity, state, step_placement, target
 
 # For the way of the question and of the answer through the log.
 _WAY_MS = 300
@@ -18,7 +18,7 @@
     return bool(tables.silent)
 
 
-def review(tables: state.State) -> None:
+def prefetch(tables: state.State) -> None:
     """Ask for the steps whose tasks will have to run again soon."""
     for name in sorted(tables.silent):
         session = tables.targets[name].session
@@ -34,7 +34,7 @@
     )
     for name in steps:
         if name in tables.steps and _is_wanted(tables, name, over_at):
-            usable = staging.find_usable(tables, name)
+            usable = step_placement.find_eligible_targets(tables, name)
             advice.ask(tables, tables.steps[name], usable)
 
 
--- a/mulberrywalk/core/dispatch.py
+++ b/mulberrywalk/core/dispatch.py
@@ -22,8 +22,8 @@
     preemption,
     resource,
     share,
-    staging,
     state,
+    step_placement,
     waiting,
     workflow,
 )
@@ -33,7 +33,7 @@
 _URGENCIES = tuple(job.Urgency)
 
 
-class Turn(NamedTuple):
+class QueuePriority(NamedTuple):
     """When a queue is served; the smallest goes first.
 
     Queues of teams within their due share go by urgency, those of teams
@@ -42,7 +42,7 @@
     """
 
     is_above_floor: bool
-    is_above_due: bool
+    is_above_fair_share: bool
     weighted_excess: int
     rank: int
     weighted_share: int
@@ -53,10 +53,10 @@
 def run(tables: state.State) -> None:
     """Release what is due and place all that fits."""
     workflow.release_due(tables)
-    tables.waiting.stuck.clear()
+    tables.waiting.exhausted_steps.clear()
     health.release_due(tables)
-    admission.forget_finished(tables)
-    gang.review(tables)
+    admission.prune_finished(tables)
+    gang.review_reservation(tables)
     if tables.waiting.steps:
         _put_back_worthless(tables)
     if tables.waiting.queues:
@@ -68,7 +68,7 @@
     heads = [
         position.task
         for key in tables.waiting.queues
-        for position in tables.waiting.heads(key, _LOOK_AHEAD)
+        for position in tables.waiting.first(key, _LOOK_AHEAD)
     ]
     for name in heads:
         if name in tables.waiting.steps:
@@ -77,33 +77,35 @@
 
 def _serve_queues(tables: state.State) -> None:
     fairness = share.assess(tables)
-    turns = [turn_of(tables, key, fairness) for key in tables.waiting.queues]
+    turns = [
+        priority_of(tables, key, fairness) for key in tables.waiting.queues
+    ]
     heapq.heapify(turns)
     while turns:
         turn = heapq.heappop(turns)
         key = waiting.QueueKey(turn.rank, turn.team)
-        latest = turn_of(tables, key, fairness)
+        latest = priority_of(tables, key, fairness)
         if latest > turn:
             # Usage has grown since this turn was entered.
             heapq.heappush(turns, latest)
         elif serve(tables, key, latest) and key in tables.waiting.queues:
-            heapq.heappush(turns, turn_of(tables, key, fairness))
+            heapq.heappush(turns, priority_of(tables, key, fairness))
 
 
-def turn_of(
+def priority_of(
     tables: state.State, key: waiting.QueueKey, fairness: share.Fairness
-) -> Turn:
+) -> QueuePriority:
     """Return the turn of a queue by the present usage."""
     document = tables.configuration.document
     weight = configuration.team_limits(document, key.team).weight
     used = share.of_team(tables, key.team)
     weighted = used * configuration.NORMAL_WEIGHT // weight
     due = fairness.due(weight)
-    is_above_due = used >= due
-    return Turn(
+    is_above_fair_share = used >= due
+    return QueuePriority(
         share.is_above_floor(tables, _URGENCIES[key.rank]),
-        is_above_due,
-        weighted if is_above_due else 0,
+        is_above_fair_share,
+        weighted if is_above_fair_share else 0,
         key.rank,
         weighted,
         key.team,
@@ -111,7 +113,9 @@
     )
 
 
-def serve(tables: state.State, key: waiting.QueueKey, turn: Turn) -> bool:
+def serve(
+    tables: state.State, key: waiting.QueueKey, turn: QueuePriority
+) -> bool:
     """Place one task or gang of a queue and return whether it could.
 
     Tasks behind one that does not fit are tried too, a few of them, so that
@@ -120,21 +124,21 @@
     """
     if share.is_over_quota(tables, key.team):
         return False
-    is_lent = turn.is_above_floor and turn.is_above_due
+    is_lent = turn.is_above_floor and turn.is_above_fair_share
     if is_lent and not _has_headroom(tables, turn):
         return False
     ahead = _STEPS_AHEAD if tables.waiting.steps else _LOOK_AHEAD
-    positions = tables.waiting.heads(key, ahead)
+    positions = tables.waiting.first(key, ahead)
     if any(_place(tables, position.task) for position in positions):
         return True
     tasks = [one.task for one in positions if one.task in tables.tasks]
     if tasks:
         first = tables.tasks[identity.TaskId(tasks[0])]
-        preemption.make_room(tables, key, first)
+        preemption.preempt_for(tables, key, first)
     return False
 
 
-def _has_headroom(tables: state.State, turn: Turn) -> bool:
+def _has_headroom(tables: state.State, turn: QueuePriority) -> bool:
     """Return whether lent capacity may still be taken.
 
     The headroom is graded: the most urgent leave a part of it, the least
@@ -153,7 +157,7 @@
         return _place_step(tables, identity.StepId(name))
     task = tables.tasks[identity.TaskId(name)]
     specification = tables.specification(task)
-    if gang.is_whole(tables, task):
+    if gang.is_unplaced_gang(tables, task):
         return gang.place(tables, task)
     load = choose(tables, task, specification)
     if load is None:
@@ -164,11 +168,11 @@
 
 def _place_step(tables: state.State, name: identity.StepId) -> bool:
     # Room only shrinks within a pass: what did not fit is not tried again.
-    if name in tables.waiting.stuck:
+    if name in tables.waiting.exhausted_steps:
         return False
-    is_placed = staging.place(tables, name)
+    is_placed = step_placement.place(tables, name)
     if name in tables.waiting.steps:
-        tables.waiting.stuck.add(name)
+        tables.waiting.exhausted_steps.add(name)
     return is_placed
 
 
@@ -177,8 +181,8 @@
 ) -> fleet.TargetLoad | None:
     """Return the target for one task, or None when it fits on none."""
     demand = tables.demand(task)
-    if tables.fleet.is_blocked(demand):
-        return gang.backfill(tables, task)
+    if tables.fleet.is_unplaceable(demand):
+        return gang.find_backfill_target(tables, task)
     policy = placement.POLICIES[specification.kind]
     siblings: tuple[fleet.TargetLoad, ...] = ()
     if specification.kind is job.Kind.SERVICE:
@@ -186,8 +190,8 @@
     request = placement.Request(demand, _failed_last(task), siblings)
     load = policy.choose(tables.fleet, request)
     if load is None:
-        tables.fleet.block(demand)
-        return gang.backfill(tables, task)
+        tables.fleet.mark_unplaceable(demand)
+        return gang.find_backfill_target(tables, task)
     return load
 
 
--- a/mulberrywalk/core/estimate.py
+++ b/mulberrywalk/core/estimate.py
@@ -16,22 +16,22 @@
 _US_PER_MS = 1000
 
 
-def learn(
+def add_sample(
     tables: state.State, queue: str, name: identity.TargetId, took_ms: int
 ) -> None:
     """Take note of what a task of a queue took on a target."""
     slowness = speed.slowness_of(tables, name)
-    sample = took_ms * _US_PER_MS * speed.AVERAGE // slowness
+    sample = took_ms * _US_PER_MS * speed.AVERAGE_SLOWNESS // slowness
     known = tables.durations.get(queue, sample)
     tables.durations[queue] = known + (sample - known) // _PARTS
 
 
-def typical_ms(tables: state.State, queue: str) -> int:
+def typical_duration_ms(tables: state.State, queue: str) -> int:
     """Return what a task of a queue takes, zero while that is not known."""
     return tables.durations.get(queue, 0) // _US_PER_MS
 
 
-def correct(estimate_ms: int, typical: int) -> int:
+def corrected_ms(estimate_ms: int, typical: int) -> int:
     """Return an estimate moved towards what is typical, in milliseconds."""
     if not typical:
         return estimate_ms
--- a/mulberrywalk/core/estimate_test.py
+++ b/mulberrywalk/core/estimate_test.py
@@ -11,20 +11,20 @@
 def tables():
     cell = cell_test.Cell(targets=1)
     for _ in range(50):
-        estimate.learn(cell.tables, 'q', 't0', TYPICAL_MS)
+        estimate.add_sample(cell.tables, 'q', 't0', TYPICAL_MS)
     return cell.tables
 
 
 def test_an_estimate_stands_while_nothing_is_known(tables):
-    assert estimate.typical_ms(tables, 'other') == 0
-    assert estimate.correct(250, 0) == 250
+    assert estimate.typical_duration_ms(tables, 'other') == 0
+    assert estimate.corrected_ms(250, 0) == 250
 
 
 def test_an_estimate_that_is_far_off_is_moved(tables):
-    typical = estimate.typical_ms(tables, 'q')
+    typical = estimate.typical_duration_ms(tables, 'q')
     assert typical == TYPICAL_MS
-    assert TYPICAL_MS // 2 < estimate.correct(250, typical) < TYPICAL_MS
-    assert TYPICAL_MS < estimate.correct(1600, typical) < 2 * TYPICAL_MS
+    assert TYPICAL_MS // 2 < estimate.corrected_ms(250, typical) < TYPICAL_MS
+    assert TYPICAL_MS < estimate.corrected_ms(1600, typical) < 2 * TYPICAL_MS
 
 
 def test_what_was_learned_survives_a_snapshot(tables):
--- a/mulberrywalk/core/evacuation.py
+++ b/mulberrywalk/core/evacuation.py
@@ -36,7 +36,7 @@
     if isinstance(needs, job.StepSpecification) and needs.is_lasting:
         return False
     slowness = speed.slowness_of(tables, attempt.target)
-    whole = needs.estimate_ms * slowness // speed.AVERAGE
+    whole = needs.estimate_ms * slowness // speed.AVERAGE_SLOWNESS
     passed = tables.time - attempt.started_at
     left = max(whole - passed, whole // _OVERRUN_PART)
     return left + _REPORT_MS < remaining_ms
--- a/mulberrywalk/core/fleet.py
+++ b/mulberrywalk/core/fleet.py
@@ -36,20 +36,20 @@
     free: resource.Resources
     attempts: set[identity.AttemptId] = dataclasses.field(default_factory=set)
     is_open: bool = False
-    is_probed: bool = False
+    is_on_probation: bool = False
     reserved_for: identity.JobId | None = None
     is_indexed: bool = False
     pool: identity.Pool = _NO_POOL
     labels: frozenset[str] = frozenset()
-    probed_from: int = 0
+    probation_started_at: int = 0
     trials: set[identity.AttemptId] = dataclasses.field(default_factory=set)
 
     def is_available(self) -> bool:
         """Return whether the target takes work that is not a gang's own."""
-        is_probing = self.is_probed and bool(self.trials)
+        is_probing = self.is_on_probation and bool(self.trials)
         return self.is_open and self.reserved_for is None and not is_probing
 
-    def is_meant_for(self, pool: str, label: str) -> bool:
+    def matches(self, pool: str, label: str) -> bool:
         """Return whether work of a pool and with a label may run here."""
         is_of_pool = not pool or self.pool == pool
         return is_of_pool and (not label or label in self.labels)
@@ -85,14 +85,14 @@
         if not self.capacities[load.capacity]:
             self.capacities.pop(load.capacity)
 
-    def change(
+    def update(
         self,
         load: TargetLoad,
         *,
         free: resource.Resources | None = None,
         is_open: bool | None = None,
-        is_probed: bool | None = None,
-        probed_from: int | None = None,
+        is_on_probation: bool | None = None,
+        probation_started_at: int | None = None,
         trials: set[identity.AttemptId] | None = None,
     ) -> None:
         """Change what is free on a target or whether it takes work."""
@@ -101,10 +101,10 @@
             load.free = free
         if is_open is not None:
             load.is_open = is_open
-        if is_probed is not None:
-            load.is_probed = is_probed
-        if probed_from is not None:
-            load.probed_from = probed_from
+        if is_on_probation is not None:
+            load.is_on_probation = is_on_probation
+        if probation_started_at is not None:
+            load.probation_started_at = probation_started_at
         if trials is not None:
             load.trials = trials
         self._index(load)
@@ -115,7 +115,7 @@
         load.reserved_for = job
         self._index(load)
 
-    def fitting(self, demand: resource.Resources) -> Iterator[TargetLoad]:
+    def least_free(self, demand: resource.Resources) -> Iterator[TargetLoad]:
         """Yield the open targets a demand fits on, least free first."""
         lowest = (demand.millicores, '')
         for _, target in self._ordered.irange(minimum=lowest):
@@ -123,11 +123,11 @@
             if resource.fits(demand, load.free):
                 yield load
 
-    def roomiest(self, demand: resource.Resources) -> Iterator[TargetLoad]:
+    def most_free(self, demand: resource.Resources) -> Iterator[TargetLoad]:
         """Yield the open targets a demand fits on, most free first."""
         yield from self._descend(self._ordered, demand)
 
-    def roomiest_in(
+    def most_free_in(
         self, data_centre: identity.DataCentre, demand: resource.Resources
     ) -> Iterator[TargetLoad]:
         """Yield the fitting targets of a data centre, most free first."""
@@ -139,11 +139,11 @@
         """Return the data centres that have had an open target."""
         return sorted(self._centres)
 
-    def is_blocked(self, demand: resource.Resources) -> bool:
+    def is_unplaceable(self, demand: resource.Resources) -> bool:
         """Return whether the demand is known to fit on no open target."""
         return demand in self._blocked
 
-    def block(self, demand: resource.Resources) -> None:
+    def mark_unplaceable(self, demand: resource.Resources) -> None:
         """Remember that a demand fits nowhere until a target frees some."""
         if len(self._blocked) >= _BLOCKED_LIMIT:
             self._blocked.clear()
@@ -172,7 +172,7 @@
     def _index(self, load: TargetLoad) -> None:
         if not load.is_open or load.reserved_for is not None:
             return
-        if load.free.slots <= 0 or (load.is_probed and load.trials):
+        if load.free.slots <= 0 or (load.is_on_probation and load.trials):
             return
         key = (load.free.millicores, load.target)
         self._ordered.add(key)
--- a/mulberrywalk/core/gang.py
+++ b/mulberrywalk/core/gang.py
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outlook:
+class Availability:
     """What a target will have free, and when its batch work should end."""
 
     free_at: int
@@ -28,7 +28,7 @@
     free: resource.Resources
 
 
-def is_whole(tables: state.State, task: job.Task) -> bool:
+def is_unplaced_gang(tables: state.State, task: job.Task) -> bool:
     """Return whether a task stands for a gang that was not placed yet."""
     kind = tables.specification(task).kind
     return kind is job.Kind.GANG and not task.attempts
@@ -57,7 +57,9 @@
     return True
 
 
-def backfill(tables: state.State, task: job.Task) -> fleet.TargetLoad | None:
+def find_backfill_target(
+    tables: state.State, task: job.Task
+) -> fleet.TargetLoad | None:
     """Return a kept target on which a task ends before the gang starts."""
     reservation = tables.reservation
     if reservation is None:
@@ -72,7 +74,7 @@
             load
             for load in loads
             if load.is_open
-            and not load.is_probed
+            and not load.is_on_probation
             and resource.fits(demand, load.free)
         ),
         None,
@@ -92,7 +94,7 @@
     )
 
 
-def review(tables: state.State) -> None:
+def review_reservation(tables: state.State) -> None:
     """Drop a reservation whose gang is gone or whose targets have changed."""
     reservation = tables.reservation
     if reservation is None:
@@ -122,16 +124,16 @@
             break
         chosen.append(load)
         taken.append(demand)
-        tables.fleet.change(load, free=resource.subtract(load.free, demand))
+        tables.fleet.update(load, free=resource.subtract(load.free, demand))
     for load, demand in zip(chosen, taken, strict=True):
-        tables.fleet.change(load, free=resource.add(load.free, demand))
+        tables.fleet.update(load, free=resource.add(load.free, demand))
     if len(chosen) < len(tasks) or _doubles_probe(chosen):
         return None
     return chosen
 
 
 def _doubles_probe(chosen: list[fleet.TargetLoad]) -> bool:
-    probed = [load.target for load in chosen if load.is_probed]
+    probed = [load.target for load in chosen if load.is_on_probation]
     return len(probed) > len(set(probed))
 
 
@@ -185,19 +187,21 @@
     )
 
 
-def _choose_outlooks(tables: state.State, first: job.Task) -> list[Outlook]:
+def _choose_outlooks(
+    tables: state.State, first: job.Task
+) -> list[Availability]:
     """Return the soonest free targets that hold the whole gang, or none."""
     specification = tables.specification(first)
     outlooks = sorted(
         (
             _foresee(tables, load)
             for load in tables.fleet.loads.values()
-            if load.is_open and not load.is_probed
+            if load.is_open and not load.is_on_probation
         ),
         key=_when_free,
     )
     demands = [needs.demand() for needs in specification.tasks]
-    chosen: list[Outlook] = []
+    chosen: list[Availability] = []
     for outlook in outlooks:
         count = _count_fitting(demands, outlook.free)
         if count:
@@ -216,11 +220,11 @@
     return sum(resource.fits(held, free) for held in sums)
 
 
-def _when_free(outlook: Outlook) -> tuple[int, str]:
+def _when_free(outlook: Availability) -> tuple[int, str]:
     return outlook.free_at, outlook.load.target
 
 
-def _foresee(tables: state.State, load: fleet.TargetLoad) -> Outlook:
+def _foresee(tables: state.State, load: fleet.TargetLoad) -> Availability:
     free = load.capacity
     free_at = tables.time
     for name in load.attempts:
@@ -232,4 +236,4 @@
         estimate = tables.task_specification(task).estimate_ms
         ends_at = (attempt.started_at or attempt.placed_at) + estimate
         free_at = max(free_at, ends_at)
-    return Outlook(free_at, load, free)
+    return Availability(free_at, load, free)
--- a/mulberrywalk/core/health.py
+++ b/mulberrywalk/core/health.py
@@ -66,7 +66,7 @@
     tables.silent.discard(name)
     if record.silence is not None:
         tables.silent.add(name)
-    tables.fleet.change(
+    tables.fleet.update(
         load,
         is_open=(
             record.session is not None
@@ -74,8 +74,8 @@
             and record.silence is None
             and record.health.until <= tables.time
         ),
-        is_probed=record.health.level > 0,
-        probed_from=record.health.until,
+        is_on_probation=record.health.level > 0,
+        probation_started_at=record.health.until,
         trials={
             name
             for name in load.attempts
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -8,7 +8,6 @@
 
 from . import (
     absence,
-    duration,
     effect,
     event,
     fleet,
@@ -18,6 +17,7 @@
     queueing,
     retry,
     state,
+    trace_detail,
     workflow,
 )
 
@@ -48,7 +48,7 @@
     if task.state is job.TaskState.BLOCKED:
         finish(tables, task, job.TaskState.CANCELLED)
     elif task.state is job.TaskState.WAITING:
-        queueing.stop_waiting(tables, task)
+        queueing.remove_task(tables, task)
         finish(tables, task, job.TaskState.CANCELLED)
     elif task.attempt is not None:
         stop(tables, tables.attempts[task.attempt], reason)
@@ -69,7 +69,7 @@
     session = tables.targets[load.target].session
     if session is None:
         raise AssertionError(f'{load.target} is open without a session')
-    queueing.stop_waiting(tables, task)
+    queueing.remove_task(tables, task)
     number = number or task.attempts + 1
     attempt = job.Attempt(
         attempt=identity.AttemptId(f'{task.task}/{number}'),
@@ -89,7 +89,7 @@
     )
     state.add_attempt(tables, attempt)
     tables.emit(effect.StartAttempt(attempt))
-    trace(tables, 'placed', attempt, duration.of_wait(tables, task))
+    trace(tables, 'placed', attempt, trace_detail.for_placement(tables, task))
 
 
 def start(tables: state.State, started: event.AttemptStart) -> None:
@@ -98,7 +98,7 @@
     if attempt is None or attempt.started_at:
         return
     task = tables.tasks[attempt.task]
-    told = duration.of_start(tables, attempt)
+    told = trace_detail.for_start(tables, attempt)
     state.replace_attempt(
         tables, msgspec.structs.replace(attempt, started_at=tables.time)
     )
@@ -141,7 +141,9 @@
     state.remove_attempt(tables, attempt)
     ended = _limit_answer(tables, attempt, ended)
     task = _close_attempt(tables, attempt, ended)
-    trace(tables, 'ended', attempt, duration.of_end(tables, attempt, ended))
+    trace(
+        tables, 'ended', attempt, trace_detail.for_end(tables, attempt, ended)
+    )
     _credit(tables, attempt, task, ended.reason)
     if ended.reason in {job.EndReason.COMPLETED, job.EndReason.FAILED}:
         _set_job_running(tables, task.job)
@@ -333,7 +335,7 @@
     if retry.is_exhausted(tables, task):
         finish(tables, task, job.TaskState.FAILED)
         return
-    queueing.wait_again(tables, task, not_before)
+    queueing.requeue(tables, task, not_before)
 
 
 def _final_state(reason: job.EndReason) -> job.TaskState:
--- a/mulberrywalk/core/objective.py
+++ b/mulberrywalk/core/objective.py
@@ -14,7 +14,7 @@
 _CHAINS_KEPT = 4096
 
 
-def chain_ms(
+def critical_path_ms(
     specification: job.Specification, number: int, typical_ms: int = 0
 ) -> int:
     """Return the longest chain of estimates from a step to the end, in ms.
@@ -44,7 +44,7 @@
     chains: dict[int, int] = {}
     followers: dict[int, int] = collections.defaultdict(int)
     for number, step in reversed(list(enumerate(specification.steps))):
-        expected = estimate.correct(step.estimate_ms, typical_ms)
+        expected = estimate.corrected_ms(step.estimate_ms, typical_ms)
         chains[number] = advised + expected + followers[number]
         for earlier in step.after:
             followers[earlier] = max(followers[earlier], chains[number])
--- a/mulberrywalk/core/placement.py
+++ b/mulberrywalk/core/placement.py
@@ -48,7 +48,7 @@
             itertools.islice(self.candidates(loads, request), _CANDIDATES)
         )
         others = [one for one in candidates if one.target != request.avoid]
-        return self.prefer(others or candidates, request)
+        return self.select_best(others or candidates, request)
 
     @abc.abstractmethod
     def candidates(
@@ -57,7 +57,7 @@
         """Yield fitting targets, the better ones first."""
 
     @abc.abstractmethod
-    def prefer(
+    def select_best(
         self, candidates: list[fleet.TargetLoad], request: Request
     ) -> fleet.TargetLoad | None:
         """Return the best of a few fitting targets."""
@@ -74,9 +74,9 @@
         self, loads: fleet.Fleet, request: Request
     ) -> Iterable[fleet.TargetLoad]:
         """Yield the fitting targets with the least free processor."""
-        return loads.fitting(request.demand)
+        return loads.least_free(request.demand)
 
-    def prefer(
+    def select_best(
         self, candidates: list[fleet.TargetLoad], request: Request
     ) -> fleet.TargetLoad | None:
         """Return the target on which the least more is stranded."""
@@ -102,9 +102,9 @@
         self, loads: fleet.Fleet, request: Request
     ) -> Iterable[fleet.TargetLoad]:
         """Yield the fitting targets with the most free processor."""
-        return loads.roomiest(request.demand)
+        return loads.most_free(request.demand)
 
-    def prefer(
+    def select_best(
         self, candidates: list[fleet.TargetLoad], request: Request
     ) -> fleet.TargetLoad | None:
         """Return the target whose scarcest resource stays freest."""
@@ -138,10 +138,10 @@
             key=lambda centre: (crowding[centre], centre),
         )
         return itertools.chain.from_iterable(
-            loads.roomiest_in(centre, request.demand) for centre in centres
+            loads.most_free_in(centre, request.demand) for centre in centres
         )
 
-    def prefer(
+    def select_best(
         self, candidates: list[fleet.TargetLoad], request: Request
     ) -> fleet.TargetLoad | None:
         """Return the target whose centre, rack and self hold fewest."""
--- a/mulberrywalk/core/preemption.py
+++ b/mulberrywalk/core/preemption.py
@@ -22,7 +22,7 @@
 _URGENCIES = tuple(job.Urgency)
 
 
-def make_room(
+def preempt_for(
     tables: state.State, key: waiting.QueueKey, task: job.Task
 ) -> None:
     """Stop one attempt for a task that has waited below its floor.
@@ -55,7 +55,7 @@
     """Return the attempt to stop, or None when there is none to take."""
     demand = tables.demand(task)
     kept_for = None
-    if gang.is_whole(tables, task):
+    if gang.is_unplaced_gang(tables, task):
         kept_for = task.job
     for other in reversed(_URGENCIES):
         if other is urgency or not share.is_above_floor(tables, other):
--- a/mulberrywalk/core/queueing.py
+++ b/mulberrywalk/core/queueing.py
@@ -7,22 +7,20 @@
 from . import job, state, waiting
 
 
-def wait(tables: state.State, task: job.Task) -> None:
+def add_task(tables: state.State, task: job.Task) -> None:
     """Put a task into its queue, or aside, or among the delayed."""
     tables.tasks[task.task] = task
     state.note_absence(tables, task)
-    tables.waiting.count(key_of(tables, task), 1)
+    tables.waiting.adjust_count(key_of(tables, task), 1)
     if task.not_before > tables.time:
         tables.waiting.delayed.add((task.not_before, task.task))
         return
     enqueue(tables, task)
 
 
-def wait_again(
-    tables: state.State, task: job.Task, not_before: int = 0
-) -> None:
+def requeue(tables: state.State, task: job.Task, not_before: int = 0) -> None:
     """Let a task wait from now on, not to be placed before a time."""
-    wait(
+    add_task(
         tables,
         msgspec.structs.replace(
             task,
@@ -41,7 +39,7 @@
     kind = tables.specification(task).kind
     if kind is job.Kind.WORKFLOW:
         step = tables.steps[task.step_id()]
-        tables.waiting.add_of_step(
+        tables.waiting.add_step_task(
             key_of(tables, task), position_of_step(step), task.number
         )
         return
@@ -51,26 +49,28 @@
     if tables.fleet.could_fit(demand):
         tables.waiting.add(key_of(tables, task), position_of(task))
     else:
-        tables.waiting.aside[task.task] = demand
+        tables.waiting.infeasible[task.task] = demand
 
 
 def release_due(tables: state.State) -> None:
     """Let the tasks queue whose delay is over."""
-    for name in tables.waiting.due(tables.time):
+    for name in tables.waiting.pop_due(tables.time):
         enqueue(tables, tables.tasks[name])
 
 
-def stop_waiting(tables: state.State, task: job.Task) -> None:
+def remove_task(tables: state.State, task: job.Task) -> None:
     """Take a task out of the queue, the delayed and those set aside."""
     key = key_of(tables, task)
-    tables.waiting.count(key, -1)
+    tables.waiting.adjust_count(key, -1)
     tables.waiting.delayed.discard((task.not_before, task.task))
     step = tables.steps.get(task.step_id())
     if step is not None:
-        tables.waiting.discard_of_step(key, position_of_step(step), task.number)
+        tables.waiting.discard_step_task(
+            key, position_of_step(step), task.number
+        )
         return
     tables.waiting.discard(key, position_of(task))
-    tables.waiting.aside.pop(task.task, None)
+    tables.waiting.infeasible.pop(task.task, None)
 
 
 def key_of(tables: state.State, task: job.Task) -> waiting.QueueKey:
--- a/mulberrywalk/core/reducer.py
+++ b/mulberrywalk/core/reducer.py
@@ -13,12 +13,12 @@
 from . import (
     admission,
     advice,
+    advice_prefetch,
     amendment,
     confirmation,
     dispatch,
     effect,
     event,
-    foresight,
     outcome,
     session,
     state,
@@ -91,7 +91,7 @@
 ) -> outcome.Outcome:
     confirmation.review(tables)
     dispatch.run(tables)
-    foresight.review(tables)
+    advice_prefetch.prefetch(tables)
     return outcome.Recorded()
 
 
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -340,11 +340,11 @@
         for position in queue
         if position.task not in tables.steps
     ]
-    for name in sorted((*queued, *tables.waiting.aside)):
+    for name in sorted((*queued, *tables.waiting.infeasible)):
         task = tables.tasks[name]
         key = queueing.key_of(tables, task)
         tables.waiting.discard(key, queueing.position_of(task))
-        tables.waiting.aside.pop(name, None)
+        tables.waiting.infeasible.pop(name, None)
         queueing.enqueue(tables, task)
 
 
--- a/mulberrywalk/core/session_test.py
+++ b/mulberrywalk/core/session_test.py
@@ -19,9 +19,9 @@
 def test_task_is_set_aside_when_no_kind_of_target_fits():
     cell = cell_test.Cell()
     told = cell.submit(cell_test.specify(1, millicores=50_000))
-    assert not cell.tables.waiting.aside
+    assert not cell.tables.waiting.infeasible
     cell.open_session(0)
-    assert set(cell.tables.waiting.aside) == {job.task_id(told.job, 0)}
+    assert set(cell.tables.waiting.infeasible) == {job.task_id(told.job, 0)}
 
 
 def test_impossible_job_blocks_nobody():
--- a/mulberrywalk/core/snapshot.py
+++ b/mulberrywalk/core/snapshot.py
@@ -131,7 +131,7 @@
         if task.state is job.TaskState.WAITING
     ]
     for task in waiting:
-        queueing.wait(tables, task)
+        queueing.add_task(tables, task)
     for attempt in tables.attempts.values():
         if attempt.lost_at or not attempt.started_at:
             state.note_absence(tables, tables.tasks[attempt.task])
--- a/mulberrywalk/core/speed.py
+++ b/mulberrywalk/core/speed.py
@@ -12,9 +12,9 @@
 from . import identity, job, state, target
 
 # What an average target takes, in permille of it.
-AVERAGE = 1000
+AVERAGE_SLOWNESS = 1000
 # From here on a target is used for what fits nowhere else.
-SLOW = 1500
+SLOW_THRESHOLD = 1500
 _LEAST_TASKS = 3
 _FASTEST = 250
 _SLOWEST = 8000
@@ -28,11 +28,13 @@
     """Return what a target takes for its tasks, in permille of the average."""
     learned = tables.targets[name].speed
     passed = tables.time - learned.learned_at
-    excess = learned.slowness - AVERAGE
-    return AVERAGE + excess * _HALF_LIFE_MS // (_HALF_LIFE_MS + passed)
+    excess = learned.slowness - AVERAGE_SLOWNESS
+    return AVERAGE_SLOWNESS + excess * _HALF_LIFE_MS // (_HALF_LIFE_MS + passed)
 
 
-def learn(tables: state.State, step: job.Step, members: list[job.Task]) -> None:
+def add_samples(
+    tables: state.State, step: job.Step, members: list[job.Task]
+) -> None:
     """Compare the tasks of a step that has ended with each other.
 
     Equal work is compared, so that rough estimates do not matter.
@@ -49,10 +51,11 @@
     if len(taken) < _LEAST_TASKS:
         return
     nominal = sum(
-        took * AVERAGE // slowness_of(tables, name) for name, took in taken
+        took * AVERAGE_SLOWNESS // slowness_of(tables, name)
+        for name, took in taken
     ) // len(taken)
     for name, took in taken:
-        _take_sample(tables, name, took * AVERAGE // max(1, nominal))
+        _take_sample(tables, name, took * AVERAGE_SLOWNESS // max(1, nominal))
 
 
 def _is_near(
--- a/mulberrywalk/core/speed_test.py
+++ b/mulberrywalk/core/speed_test.py
@@ -44,8 +44,8 @@
 def test_a_target_that_takes_long_is_known_as_slow():
     cell = cell_test.Cell(targets=TASKS)
     run_step(cell, 't1')
-    assert speed.slowness_of(cell.tables, 't1') > speed.SLOW
-    assert speed.slowness_of(cell.tables, 't0') < speed.AVERAGE
+    assert speed.slowness_of(cell.tables, 't1') > speed.SLOW_THRESHOLD
+    assert speed.slowness_of(cell.tables, 't0') < speed.AVERAGE_SLOWNESS
 
 
 def test_what_was_learned_counts_less_with_time():
@@ -54,7 +54,7 @@
     before = speed.slowness_of(cell.tables, 't1')
     cell.dispatch(60_000)
     after = speed.slowness_of(cell.tables, 't1')
-    assert speed.AVERAGE < after < before // 2 + speed.AVERAGE
+    assert speed.AVERAGE_SLOWNESS < after < before // 2 + speed.AVERAGE_SLOWNESS
 
 
 def test_urgent_work_goes_to_fast_targets_and_patient_work_leaves_them():
--- a/mulberrywalk/core/state.py
+++ b/mulberrywalk/core/state.py
@@ -106,8 +106,8 @@
     durations: dict[str, int] = dataclasses.field(default_factory=dict)
 
     fleet: fleet.Fleet = dataclasses.field(default_factory=fleet.Fleet)
-    waiting: waiting.Waiting = dataclasses.field(
-        default_factory=waiting.Waiting
+    waiting: waiting.WaitingTasks = dataclasses.field(
+        default_factory=waiting.WaitingTasks
     )
     requests: dict[tuple[str, str], identity.JobId] = dataclasses.field(
         default_factory=dict
@@ -320,4 +320,4 @@
     else:
         load.attempts.discard(attempt.attempt)
         load.trials.discard(attempt.attempt)
-    state.fleet.change(load, free=free)
+    state.fleet.update(load, free=free)
--- a/mulberrywalk/core/staging.py
+++ b/mulberrywalk/core/step_placement.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Round:
+class StepPlacement:
     """One step that is being placed; tickets are empty without an adviser."""
 
     step: job.Step
@@ -55,7 +55,7 @@
     is_unadvised = bool(step.asked_at) and not step.tickets
     if is_unadvised and advice.is_asking(tables, step):
         return False
-    if next(tables.fleet.roomiest(needs.demand()), None) is None:
+    if next(tables.fleet.most_free(needs.demand()), None) is None:
         return False
     numbers = list(tables.waiting.steps.get(name, ()))
     if needs.is_gang and len(numbers) < needs.count:
@@ -67,11 +67,13 @@
     else:
         count = _place_each(tables, started, numbers)
     if count < len(numbers):
-        advice.ask(tables, tables.steps[name], find_usable(tables, name))
+        advice.ask(
+            tables, tables.steps[name], find_eligible_targets(tables, name)
+        )
     return count > 0
 
 
-def find_usable(
+def find_eligible_targets(
     tables: state.State, name: identity.StepId
 ) -> list[fleet.TargetLoad]:
     """Return where a step could run but for advice, and for room with it."""
@@ -89,13 +91,13 @@
     step: job.Step,
     needs: job.StepSpecification,
     suitable: list[fleet.TargetLoad],
-) -> Round:
+) -> StepPlacement:
     tickets: dict[identity.TargetId, str] = {}
     candidates = suitable
     if tables.jobs[step.job].specification.advice is not None:
         tickets = advice.find_valid(tables, step)
         candidates = [load for load in suitable if load.target in tickets]
-    return Round(step, needs, needs.demand(), candidates, tickets)
+    return StepPlacement(step, needs, needs.demand(), candidates, tickets)
 
 
 def _suitable(
@@ -109,7 +111,7 @@
         load
         for _, load in sorted(tables.fleet.loads.items())
         if load.is_available()
-        and load.is_meant_for(specification.pool, needs.label)
+        and load.matches(specification.pool, needs.label)
         and resource.fits(demand, load.capacity)
     )
     if specification.advice is not None:
@@ -118,7 +120,9 @@
     return list(itertools.islice(fitting, _CANDIDATES))
 
 
-def _place_each(tables: state.State, started: Round, numbers: list[int]) -> int:
+def _place_each(
+    tables: state.State, started: StepPlacement, numbers: list[int]
+) -> int:
     for count, number in enumerate(numbers):
         task = _task(tables, started.step, number)
         load = _choose(tables, started, task)
@@ -128,7 +132,9 @@
     return len(numbers)
 
 
-def _place_gang(tables: state.State, started: Round, numbers: list[int]) -> int:
+def _place_gang(
+    tables: state.State, started: StepPlacement, numbers: list[int]
+) -> int:
     """Place all members on targets that hold them together, or none."""
     racks = {load.rack for load in started.candidates}
     choices = [started.candidates]
@@ -150,7 +156,7 @@
 
 def _place_members(
     tables: state.State,
-    started: Round,
+    started: StepPlacement,
     numbers: list[int],
     chosen: list[fleet.TargetLoad],
 ) -> None:
@@ -165,7 +171,7 @@
 
 def _allocate(
     tables: state.State,
-    started: Round,
+    started: StepPlacement,
     candidates: list[fleet.TargetLoad],
     count: int,
 ) -> list[fleet.TargetLoad] | None:
@@ -177,7 +183,7 @@
     )
     for load in steady_first:
         room = resource.count_fitting(started.demand, load.free, job.MAX_TASKS)
-        if load.is_probed:
+        if load.is_on_probation:
             room = min(room, 1)
         limit = started.needs.per_target_limit
         if limit:
@@ -192,7 +198,7 @@
 
 
 def _choose(
-    tables: state.State, started: Round, task: job.Task
+    tables: state.State, started: StepPlacement, task: job.Task
 ) -> fleet.TargetLoad | None:
     fitting = [
         load
@@ -221,7 +227,7 @@
 
 
 def _crowding(
-    tables: state.State, started: Round, load: fleet.TargetLoad
+    tables: state.State, started: StepPlacement, load: fleet.TargetLoad
 ) -> tuple[int, ...]:
     """Return what orders targets that are equally near."""
     needs = started.needs
@@ -235,7 +241,7 @@
     if job.rank(urgency) == 0:
         return slowness // _ALIKE, load.free.millicores
     # Fast targets are left to urgent work, as long as there are others.
-    is_slow = slowness > speed.SLOW
+    is_slow = slowness > speed.SLOW_THRESHOLD
     return int(is_slow), -(slowness // _ALIKE), load.free.millicores
 
 
@@ -276,7 +282,7 @@
 
 def _place(
     tables: state.State,
-    started: Round,
+    started: StepPlacement,
     task: job.Task,
     load: fleet.TargetLoad,
     number: int,
--- a/mulberrywalk/core/duration.py
+++ b/mulberrywalk/core/trace_detail.py
@@ -9,13 +9,13 @@
 from . import absence, effect, event, job, state
 
 
-def of_wait(tables: state.State, task: job.Task) -> str:
+def for_placement(tables: state.State, task: job.Task) -> str:
     """Return how long a task that is placed has waited."""
     waited_ms = tables.time - task.waiting_since
     return effect.detail({'waited_ms': waited_ms, **_absent(tables, task)})
 
 
-def of_start(tables: state.State, attempt: job.Attempt) -> str:
+def for_start(tables: state.State, attempt: job.Attempt) -> str:
     """Return how long ago an attempt that is confirmed was placed."""
     told = _placed(tables, attempt)
     return effect.detail(
@@ -23,7 +23,7 @@
     )
 
 
-def of_end(
+def for_end(
     tables: state.State, attempt: job.Attempt, ended: event.AttemptEnd
 ) -> str:
     """Return why an attempt has ended, and how long it held its capacity."""
--- a/mulberrywalk/core/waiting.py
+++ b/mulberrywalk/core/waiting.py
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class WaitingTasks:
     """All waiting tasks.
 
     delayed holds the tasks that wait for a retry time, aside those that fit
@@ -43,7 +43,7 @@
 
     queues: dict[QueueKey, SortedList] = dataclasses.field(default_factory=dict)
     delayed: SortedList = dataclasses.field(default_factory=SortedList)
-    aside: dict[identity.TaskId, resource.Resources] = dataclasses.field(
+    infeasible: dict[identity.TaskId, resource.Resources] = dataclasses.field(
         default_factory=dict
     )
     counts: dict[QueueKey, int] = dataclasses.field(default_factory=dict)
@@ -51,7 +51,7 @@
         default_factory=dict
     )
     # Steps of which nothing more can be placed in the present pass.
-    stuck: set[str] = dataclasses.field(default_factory=set)
+    exhausted_steps: set[str] = dataclasses.field(default_factory=set)
 
     def add(self, key: QueueKey, position: Position) -> None:
         """Let a task wait in its queue."""
@@ -71,7 +71,7 @@
         if not queue:
             self.queues.pop(key)
 
-    def add_of_step(
+    def add_step_task(
         self, key: QueueKey, position: Position, number: int
     ) -> None:
         """Let a task of a step wait; the step stands in the queue for it."""
@@ -83,7 +83,7 @@
             self.add(key, position)
         numbers.add(number)
 
-    def discard_of_step(
+    def discard_step_task(
         self, key: QueueKey, position: Position, number: int
     ) -> None:
         """Take a task of a step out, and the step with its last one."""
@@ -96,20 +96,20 @@
             self.steps.pop(step)
             self.discard(key, position)
 
-    def heads(self, key: QueueKey, limit: int) -> list[Position]:
+    def first(self, key: QueueKey, limit: int) -> list[Position]:
         """Return the first positions of a queue."""
         queue = self.queues.get(key)
         if queue is None:
             return []
         return list(itertools.islice(queue, limit))
 
-    def due(self, now: int) -> Iterator[identity.TaskId]:
+    def pop_due(self, now: int) -> Iterator[identity.TaskId]:
         """Yield and remove the delayed tasks whose time has come."""
         while self.delayed and self.delayed[0][0] <= now:
             _, task = self.delayed.pop(0)
             yield task
 
-    def count(self, key: QueueKey, change: int) -> None:
+    def adjust_count(self, key: QueueKey, change: int) -> None:
         """Change how many tasks of a queue's urgency and team wait."""
         counted = self.counts.get(key, 0) + change
         if counted:
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -197,12 +197,12 @@
     numbers = list(tables.waiting.steps[name])
     members = members_of(tables, step)
     for number in numbers:
-        queueing.stop_waiting(tables, members[number])
+        queueing.remove_task(tables, members[number])
     tables.steps[name] = msgspec.structs.replace(
         step, order=step.order + _PUT_BACK_MS
     )
     for number in numbers:
-        queueing.wait(tables, members[number])
+        queueing.add_task(tables, members[number])
     return True
 
 
@@ -231,10 +231,10 @@
         record, released=occurrence + 1
     )
     due_at = max(_due_at(record, occurrence), record.submitted_at)
-    typical_ms = estimate.typical_ms(tables, specification.queue)
+    typical_ms = estimate.typical_duration_ms(tables, specification.queue)
     allowed_ms = objective.objective_ms(specification, typical_ms)
     for number, needs in enumerate(specification.steps):
-        chain_ms = objective.chain_ms(specification, number, typical_ms)
+        chain_ms = objective.critical_path_ms(specification, number, typical_ms)
         step = job.Step(
             step=job.step_id(record.job, occurrence, number),
             job=record.job,
@@ -266,7 +266,7 @@
     if step.blocked_by:
         tables.tasks[task.task] = task
     else:
-        queueing.wait_again(tables, task)
+        queueing.requeue(tables, task)
 
 
 def _is_completed(
@@ -296,11 +296,11 @@
     if attempt.started_at:
         queue = tables.specification(task).queue
         took_ms = tables.time - attempt.started_at
-        estimate.learn(tables, queue, attempt.target, took_ms)
+        estimate.add_sample(tables, queue, attempt.target, took_ms)
     tables.steps[step.step] = step
     lifecycle.finish(tables, task, job.TaskState.COMPLETED)
     if step.unfinished == 0:
-        speed.learn(tables, step, members_of(tables, step))
+        speed.add_samples(tables, step, members_of(tables, step))
         _unblock(tables, step)
 
 
@@ -317,7 +317,7 @@
         tables.steps[name] = step
         if step.blocked_by == 0:
             for task in members_of(tables, step):
-                queueing.wait_again(tables, task)
+                queueing.requeue(tables, task)
 
 
 def _run_again(
@@ -340,7 +340,7 @@
         lifecycle.finish(tables, task, job.TaskState.FAILED)
         _abandon(tables, task.job)
         return
-    queueing.wait_again(tables, task, _restart_at(tables, task, ended.reason))
+    queueing.requeue(tables, task, _restart_at(tables, task, ended.reason))
 
 
 def _restart_at(
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -11,7 +11,14 @@
 import msgspec
 
 from ..consensus import node, repair
-from ..core import confirmation, effect, event, foresight, identity, target
+from ..core import (
+    advice_prefetch,
+    confirmation,
+    effect,
+    event,
+    identity,
+    target,
+)
 from ..telemetry import clock, journal, metric
 from ..transport import wire
 from . import (
@@ -206,7 +213,7 @@
             bool(waiting.queues)
             or self._is_timer_due()
             or confirmation.is_due(self._engine.tables, self._engine.time())
-            or foresight.is_due(self._engine.tables)
+            or advice_prefetch.is_due(self._engine.tables)
         )
         if is_due and now - self._dispatched_at >= _DISPATCH_MS:
             self._dispatched_at = now
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -153,7 +153,7 @@
 
 
 def _waiting_reason(tables: state.State, task: job.Task) -> str:
-    if task.task in tables.waiting.aside:
+    if task.task in tables.waiting.infeasible:
         return 'no target is large enough, however empty'
     if task.not_before > tables.time:
         return 'a retry is delayed'
@@ -171,7 +171,7 @@
     tables: state.State, task: job.Task, demand: resource.Resources
 ) -> list[str]:
     """Return the resources that most targets lack."""
-    is_aside = task.task in tables.waiting.aside
+    is_aside = task.task in tables.waiting.infeasible
     amounts = [
         load.capacity if is_aside else load.free
         for load in tables.fleet.loads.values()
@@ -209,7 +209,7 @@
         conditions.append('silent')
     if record.health.until > tables.time:
         conditions.append('quarantined')
-    if load.is_probed and load.attempts:
+    if load.is_on_probation and load.attempts:
         conditions.append('on_probation')
     if load.reserved_for is not None:
         conditions.append('reserved_for_gang')
