--- a/mulberrywalk/platform/control.py
+++ b/mulberrywalk/platform/control.py
@@ -23,12 +23,12 @@
     """Answers workers and operators for the cell."""
 
     def __init__(
-        self, parts: program.Parts, address: str, lease_ms: int
+        self, parts: program.ReplicaComponents, address: str, lease_ms: int
     ) -> None:
         """Prepare; serve is the ASGI application, reached at address."""
         self._engine = parts.engine
         self._leader = parts.leader
-        self._lines = parts.lines
+        self._lines = parts.logger
         self._address = address
         self._lease_ms = lease_ms
 
@@ -75,7 +75,7 @@
         name, _, call = request.path[len(_INSTANCES) :].partition('/')
         if call == 'deregister':
             target = identity.TargetId(name)
-            return _respond(await self._leader.registry.farewell(target))
+            return _respond(await self._leader.registry.deregister(target))
         if call != 'heartbeat':
             return http.Response(http.NOT_FOUND)
         try:
@@ -84,11 +84,11 @@
             shown = name[: bound.MOST_TEXT]
             self._lines.warn('heartbeat refused', f'of {shown}: {error}')
             return http.Response(http.BAD_REQUEST, {'error': str(error)})
-        if self._leader.registry.is_foreign(sighting):
+        if self._leader.registry.has_unknown_pool(sighting):
             pool = sighting.announcement.pool
             detail = f'of {name}: no service {pool}'
             self._lines.warn('heartbeat passed over', detail)
-        told = await self._leader.registry.announce(sighting)
+        told = await self._leader.registry.process_heartbeat(sighting)
         answer = _respond(told)
         if answer.status == http.OK:
             answer.body['heartbeatAddr'] = self._address
@@ -100,7 +100,7 @@
         except wire.WireError as error:
             self._lines.warn('configuration refused', str(error))
             return http.Response(http.BAD_REQUEST, {'error': str(error)})
-        told = await self._engine.decide(
+        told = await self._engine.propose_and_wait(
             event.ConfigurationReplaced(self._engine.time(), routing)
         )
         return _respond(told)
--- a/mulberrywalk/platform/control_test.py
+++ b/mulberrywalk/platform/control_test.py
@@ -40,7 +40,7 @@
     parts = types.SimpleNamespace(
         engine=running,
         leader=leader,
-        lines=journal.Journal(journal.Origin('a', 'd')),
+        logger=journal.Journal(journal.Origin('a', 'd')),
     )
     sent = []
 
--- a/mulberrywalk/platform/replica.py
+++ b/mulberrywalk/platform/replica.py
@@ -33,7 +33,7 @@
         """Serve where the settings say."""
         self._settings = settings
 
-    async def run(self, parts: program.Parts) -> None:
+    async def run(self, parts: program.ReplicaComponents) -> None:
         """Serve until it is cancelled."""
         address = self._settings.bind_addrs.control
         lease_ms = int(self._settings.bounds.max_hold_ms * _LEASE_PART)
@@ -99,7 +99,7 @@
         replicas=settings.seed_peers(),
         statsd='',
         log_format=os.environ.get(_LOG, 'json'),
-        policy=leader.Policy(
+        policy=leader.MembershipPolicy(
             voters=2 * settings.fault_tolerance.machines + 1,
             repair_after_ms=_REPAIR_AFTER_MS,
         ),
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -229,7 +229,9 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def read_heartbeat(name: str, body: bytes, lease_ms: int) -> registry.Sighting:
+def read_heartbeat(
+    name: str, body: bytes, lease_ms: int
+) -> registry.TargetHeartbeat:
     """Return what a worker says of itself; raises WireError."""
     with reading.refused_as(WireError):
         return _sighting_of(name, _heartbeats.decode(body), lease_ms)
@@ -237,7 +239,7 @@
 
 def _sighting_of(
     name: str, read: Heartbeat, lease_ms: int
-) -> registry.Sighting:
+) -> registry.TargetHeartbeat:
     if read.state not in {_READY, _DRAINING}:
         raise WireError('the state is not known')
     if not bound.is_address(read.address):
@@ -262,7 +264,7 @@
         born_at=read.born,
         lease_ms=lease_ms,
     )
-    return registry.Sighting(
+    return registry.TargetHeartbeat(
         announcement,
         read.seq,
         is_leaving=read.state == _DRAINING,
--- a/mulberrywalk/replica/watch.py
+++ b/mulberrywalk/replica/absence_monitor.py
@@ -16,7 +16,7 @@
 _LINES = 3
 
 
-class Watch:
+class AbsenceMonitor:
     """Looks for lasting tasks that do not run; shows them by line and gauge."""
 
     def __init__(
@@ -30,7 +30,7 @@
         self._journal = lines
         self._metrics = metrics
 
-    def review(self) -> None:
+    def report(self) -> None:
         """Look at the tasks as they are now."""
         now = self._engine.time()
         found = absence.find(self._engine.tables, now, absence.NOTED_MS)
@@ -39,7 +39,7 @@
             detail = _tell(absent, now)
             self._record(absent, f'{detail} place={place}/{len(found)}')
 
-    def stop(self) -> None:
+    def clear(self) -> None:
         """Show that nothing is known, for another replica leads."""
         self._gauge((), 0)
 
--- a/mulberrywalk/replica/watch_test.py
+++ b/mulberrywalk/replica/absence_monitor_test.py
@@ -4,7 +4,7 @@
 
 from ..core import cell_test, event, job
 from ..telemetry import journal, metric
-from . import watch
+from . import absence_monitor
 
 NAME = '0123456789abcdef'
 TASK = f'{NAME}.0.0.0'
@@ -32,7 +32,9 @@
         self.cell = self.engine.cell
         self.lines = journal.Journal(journal.Origin('r1', 'dc0'))
         self.metrics = metric.Exposition(metric.NoMetrics())
-        self.watch = watch.Watch(self.engine, self.lines, self.metrics)
+        self.monitor = absence_monitor.AbsenceMonitor(
+            self.engine, self.lines, self.metrics
+        )
 
     def submit(self, count=1):
         step = cell_test.step(count, 4000, is_lasting=True)
@@ -45,11 +47,11 @@
         task = self.cell.tables.tasks[TASK]
         return self.cell.tables.attempts[task.attempt]
 
-    def review(self, passed=0):
+    def report(self, passed=0):
         """Return the lines of one look."""
         self.cell.now += passed
         known = len(self.lines.find(journal.Filter()))
-        self.watch.review()
+        self.monitor.report()
         return self.lines.find(journal.Filter())[known:]
 
     def gauges(self):
@@ -65,7 +67,7 @@
 
 def test_short_absence_is_not_told(scene):
     scene.submit()
-    assert not scene.review(2000)
+    assert not scene.report(2000)
     assert scene.gauges() == [0, 0, 0]
 
 
@@ -74,7 +76,7 @@
     scene.cell.now += 5000
     scene.cell.apply(event.SessionExpired, scene.attempt().session)
     scene.cell.dispatch(500)
-    line = cell_test.only(scene.review(1500))
+    line = cell_test.only(scene.report(1500))
     attempt = scene.attempt()
     assert line == journal.Line(
         line.clock,
@@ -96,26 +98,26 @@
     scene.submit()
     scene.cell.open_session(2)
     scene.cell.open_session(3)
-    assert 'room=2' in cell_test.only(scene.review(3000)).detail
+    assert 'room=2' in cell_test.only(scene.report(3000)).detail
     assert scene.gauges() == [1, 1, 3000]
 
 
 def test_many_absences_give_a_few_lines(scene):
     scene.submit(count=40)
-    assert len(scene.review(3000)) == 3
+    assert len(scene.report(3000)) == 3
     assert scene.gauges() == [40, 0, 3000]
 
 
 def test_work_that_runs_again_is_not_absent_any_more(scene):
     scene.submit()
-    assert scene.review(3000)
+    assert scene.report(3000)
     scene.cell.start(scene.attempt())
-    assert not scene.review(3000)
+    assert not scene.report(3000)
     assert scene.gauges() == [0, 0, 0]
 
 
 def test_replica_that_leads_no_more_shows_no_absence(scene):
     scene.submit()
-    assert scene.review(3000)
-    scene.watch.stop()
+    assert scene.report(3000)
+    scene.monitor.clear()
     assert scene.gauges() == [0, 0, 0]
--- a/mulberrywalk/replica/question.py
+++ b/mulberrywalk/replica/advice_queue.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Asked:
+class OpenRequest:
     """An open question: who asks it, and until when it is waited for."""
 
     wanted: effect.AskAdvice
@@ -30,27 +30,27 @@
     until: int
 
 
-class Questions:
+class AdviceQueue:
     """The open questions while this replica leads."""
 
     def __init__(self, links: link.Links) -> None:
         """Start without questions."""
         self._links = links
         self._waiting: dict[identity.StepId, effect.AskAdvice] = {}
-        self._open: dict[identity.StepId, Asked] = {}
+        self._open: dict[identity.StepId, OpenRequest] = {}
 
-    def ask(self, wanted: effect.AskAdvice) -> None:
+    def add(self, wanted: effect.AskAdvice) -> None:
         """Ask a question as soon as an entry is free for it."""
         if wanted.step not in self._open:
             self._waiting[wanted.step] = wanted
-        self.review()
+        self.send_waiting()
 
-    def close(self, step: identity.StepId) -> None:
+    def complete(self, step: identity.StepId) -> None:
         """Forget a question that was answered; its entry is free again."""
         self._open.pop(step, None)
-        self.review()
+        self.send_waiting()
 
-    def review(self) -> None:
+    def send_waiting(self) -> None:
         """Ask what waits, the most urgent first."""
         now = clock.monotonic_ms()
         self._forget(now)
@@ -67,7 +67,7 @@
     ) -> None:
         self._waiting.pop(wanted.step)
         until = now + wanted.expected_ms + _PATIENCE_MS
-        self._open[wanted.step] = Asked(wanted, chosen, until)
+        self._open[wanted.step] = OpenRequest(wanted, chosen, until)
         chosen.send(wire.AdviceWanted(wanted.step, wanted.targets))
 
     def _choose(self, wanted: effect.AskAdvice) -> link.Link | None:
--- a/mulberrywalk/replica/assignment.py
+++ b/mulberrywalk/replica/assignment.py
@@ -18,7 +18,7 @@
 _SILENCE_MS = 2500
 _MUTE_MS = 2 * _SILENCE_MS
 # For how long a new leader leaves targets to the entries that carry them.
-CLAIM_MS = 600
+CLAIM_GRACE_MS = 600
 # Beyond an even share by half and this many, an entry gives targets away.
 _UNEVEN = 2
 _MOVES_AT_ONCE = 8
@@ -47,11 +47,11 @@
         self._journal = lines
         self._assigned_at: dict[identity.SessionId, int] = {}
         self._unclaimed = set(running.tables.sessions)
-        self._claimed_by = now + CLAIM_MS
+        self._claimed_by = now + CLAIM_GRACE_MS
         # Entries that could not reach a target, and until when they count so.
         self._mute: dict[str, int] = {}
 
-    def keep(
+    def accept_claim(
         self, session: identity.SessionId, entry: link.Link, now: int
     ) -> bool:
         """Return whether an entry goes on calling a target that it carries.
@@ -67,7 +67,7 @@
         self._give(known, entry, now)
         return True
 
-    def give_again(
+    def resend_missing(
         self,
         entry: link.Link,
         carried: tuple[identity.SessionId, ...],
@@ -85,7 +85,7 @@
         for session in lost:
             self._give(session, entry, now)
 
-    def review(self, now: int) -> None:
+    def rebalance(self, now: int) -> None:
         """Assign the sessions whose entry is gone, stopping or unanswered."""
         if not self._takers():
             self._await_claims(now)
@@ -97,7 +97,7 @@
             for name, assigned_at in self._assigned_at.items()
             if name in sessions
         }
-        counts = self.count()
+        counts = self.count_by_entry()
         given: collections.Counter[str] = collections.Counter()
         for session in list(sessions.values()):
             if self._needs_entry(session, now):
@@ -109,13 +109,13 @@
                 'targets assigned', f'{number} to {entry}, {counts[entry]} now'
             )
 
-    def count(self) -> collections.Counter[str]:
+    def count_by_entry(self) -> collections.Counter[str]:
         """Return how many targets each entry is to call."""
         return collections.Counter(
             self._leases.entry_of(one) for one in self._assigned_at
         )
 
-    def is_calling(self, session: identity.SessionId, entry: str) -> bool:
+    def may_renew(self, session: identity.SessionId, entry: str) -> bool:
         """Return whether an entry may renew a session.
 
         Only the assigned one may, of a target that is called.
@@ -129,7 +129,7 @@
         """Leave all targets to those who carry them, from the next link on."""
         self._unclaimed.update(self._assigned_at)
         self._assigned_at.clear()
-        self._claimed_by = now + CLAIM_MS
+        self._claimed_by = now + CLAIM_GRACE_MS
 
     def _needs_entry(self, session: target.Session, now: int) -> bool:
         if not session.born_at:
--- a/mulberrywalk/replica/delivery.py
+++ b/mulberrywalk/replica/delivery.py
@@ -8,7 +8,7 @@
 from ..transport import wire
 from . import engine, lease, link
 
-RESEND_MS = 1500
+RESEND_INTERVAL_MS = 1500
 
 
 class Delivery:
@@ -51,13 +51,13 @@
         """Let a target forget the ends that were recorded."""
         self._send(wire.Commands(ends.session, acknowledge=ends.attempts))
 
-    def resend(self, now: int) -> None:
+    def resend_overdue(self, now: int) -> None:
         """Send again what was not confirmed in time."""
         for name, sent_at in list(self._sent.items()):
             attempt = self._engine.tables.attempts.get(name)
             if attempt is None or not is_unconfirmed(attempt):
                 self._sent.pop(name)
-            elif now - sent_at >= RESEND_MS:
+            elif now - sent_at >= RESEND_INTERVAL_MS:
                 self._send_again(attempt, now)
 
     def resend_session(self, session: identity.SessionId, now: int) -> None:
--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -22,11 +22,11 @@
 from ..storage import disk as storage
 from ..telemetry import clock, journal
 from ..transport import reading
-from . import machine, proposal
+from . import proposal, state_machine
 
-TICK_S = 0.03
+TICK_INTERVAL_S = 0.03
 # Less than a heartbeat, so that a leader with much to apply stays one.
-APPLY_MS = 40
+APPLY_BUDGET_MS = 40
 # A snapshot costs by the tasks that it holds: the more, the rarer.
 TASKS_PER_ENTRY = 4
 _BOOT_BITS = 62
@@ -44,8 +44,8 @@
     """
 
     send: Callable[[message.ReplicaId, message.Message], None]
-    applied: Callable[[list[effect.Effect]], None]
-    changed: Callable[[], None]
+    on_applied: Callable[[list[effect.Effect]], None]
+    on_changed: Callable[[], None]
 
 
 def _ignore(*_: object) -> None:
@@ -78,7 +78,7 @@
             boot=secrets.randbits(_BOOT_BITS) + 1,
         )
         known = self.node.applied_index - loaded.log.snapshot_index
-        self._machine = machine.Machine(
+        self._state_machine = state_machine.StateMachine(
             loaded.snapshot,
             loaded.log.slice(loaded.log.snapshot_index + 1, known),
         )
@@ -96,24 +96,26 @@
     @property
     def tables(self) -> state.State:
         """The state as far as it was applied."""
-        return self._machine.tables
+        return self._state_machine.tables
 
     def time(self) -> int:
         """Return the time for events, in milliseconds since 1970."""
         return self._clock.read()
 
-    def enter(self, entered: node.Input) -> None:
+    def enqueue(self, entered: node.Input) -> None:
         """Queue an input for the next round."""
         self._inputs.append(entered)
         self._wake.set()
 
-    def propose(self, occurred: event.Event, told: proposal.Told) -> None:
+    def propose(
+        self, occurred: event.Event, told: proposal.OutcomeCallback
+    ) -> None:
         """Queue an event for the log; told is called with its outcome.
 
         One that the log cannot hold is refused at once.
         """
         try:
-            written = machine.write(occurred)
+            written = state_machine.encode_event(occurred)
         except reading.UnreadableError as error:
             kind = type(occurred).__name__
             self._journal.record('event refused', f'{kind}: {error}')
@@ -123,7 +125,9 @@
         self._proposals.add(written, told)
         self._wake.set()
 
-    async def decide(self, occurred: event.Event) -> outcome.Outcome | None:
+    async def propose_and_wait(
+        self, occurred: event.Event
+    ) -> outcome.Outcome | None:
         """Return the outcome of an event once it is committed.
 
         None when this replica cannot tell whether it was.
@@ -156,9 +160,9 @@
 
     def has_caught_up(self) -> bool:
         """Return whether all entries of earlier terms are applied."""
-        return self._machine.applied_index >= self.node.term_started_index
+        return self._state_machine.applied_index >= self.node.term_started_index
 
-    def process(self) -> str:
+    def process_name(self) -> str:
         """Return the name of this process."""
         return self._journal.origin.process
 
@@ -169,7 +173,7 @@
     async def run(self) -> None:
         """Run rounds for ever; raises StorageError when the disk fails."""
         while True:
-            with anyio.move_on_after(TICK_S):
+            with anyio.move_on_after(TICK_INTERVAL_S):
                 await self._wake.wait()
             self._wake = anyio.Event()
             await self.run_round()
@@ -188,22 +192,22 @@
 
     def _propose_batch(self) -> list[node.Effect]:
         if self.node.role is not node.Role.LEADER:
-            self._proposals.give_up()
+            self._proposals.abandon_all()
             return []
         if self.node.handover_to is not None or not self._may_propose():
             return []
         if not self.backlog() and not self._is_dispatch_due:
             return []
         self._is_dispatch_due = False
-        events = self._proposals.take(self.node.log.last_index() + 1)
-        events.append(machine.write(event.TimePassed(self.time())))
+        events = self._proposals.take_batch(self.node.log.last_index() + 1)
+        events.append(state_machine.encode_event(event.TimePassed(self.time())))
         if self.backlog():
             self._wake.set()
         return raft.step(self.node, node.Proposed((_encoder.encode(events),)))
 
     def _may_propose(self) -> bool:
         # The first events of a term are those of a leader that has begun.
-        return self.has_caught_up() and not self._machine.is_behind()
+        return self.has_caught_up() and not self._state_machine.has_pending()
 
     async def _carry_out(self, effects: list[node.Effect]) -> None:
         for sent in effects:
@@ -235,14 +239,14 @@
             if effected.is_after_sync:
                 self.callbacks.send(effected.receiver, effected.body)
         elif isinstance(effected, node.Apply):
-            self._machine.take(effected.entry)
+            self._state_machine.enqueue(effected.entry)
         elif isinstance(effected, node.SendSnapshot):
             self._send_snapshot(effected)
         elif isinstance(effected, node.RoleChanged):
             role = effected.role.value
             self._journal.record('role', f'{role} in term {effected.term}')
-            self._proposals.give_up()
-            self.callbacks.changed()
+            self._proposals.abandon_all()
+            self.callbacks.on_changed()
 
     def _send_snapshot(self, wanted: node.SendSnapshot) -> None:
         held = self._disk.snapshot()
@@ -260,39 +264,39 @@
 
     async def _install(self, received: message.Snapshot) -> None:
         await run_sync(self._disk.install_snapshot, received)
-        self._machine.install(received)
+        self._state_machine.install(received)
         self._snapshot_index = received.index
         self._journal.record('snapshot installed', str(received.index))
-        self.callbacks.changed()
+        self.callbacks.on_changed()
 
     def _apply_committed(self) -> None:
-        until = clock.monotonic_ms() + APPLY_MS
-        while self._machine.is_behind():
-            self._finish_entry(self._machine.apply_next())
+        until = clock.monotonic_ms() + APPLY_BUDGET_MS
+        while self._state_machine.has_pending():
+            self._finish_entry(self._state_machine.apply_next())
             if clock.monotonic_ms() >= until:
                 self._wake.set()
                 return
 
-    def _finish_entry(self, applied: machine.Applied) -> None:
+    def _finish_entry(self, applied: state_machine.AppliedEntry) -> None:
         """Tell the outcomes of an entry, and carry out its effects.
 
         Entries of earlier terms have no effects here: whoever begins to lead
         derives what is left to do from the state.
         """
         index = applied.entry.index
-        self._proposals.settle(index, applied.outcomes())
+        self._proposals.resolve(index, applied.outcomes())
         is_leading = self.node.role is node.Role.LEADER
         begins = is_leading and index == self.node.term_started_index
         if begins:
             self._clock.advance(self.tables.time)
         if begins or applied.entry.kind is message.EntryKind.MEMBERSHIP:
-            self.callbacks.changed()
+            self.callbacks.on_changed()
         if is_leading and index > self.node.term_started_index:
             for effects in applied.effects:
-                self.callbacks.applied(effects)
+                self.callbacks.on_applied(effects)
 
     async def _take_snapshot(self) -> None:
-        applied = self._machine.applied_index
+        applied = self._state_machine.applied_index
         grown = len(self.tables.tasks) // TASKS_PER_ENTRY
         least = max(self._snapshot_entries, grown)
         if applied - self._snapshot_index < least:
--- a/mulberrywalk/replica/engine_test.py
+++ b/mulberrywalk/replica/engine_test.py
@@ -78,7 +78,7 @@
     began_at = slow_clock[0]
     run_rounds(running, 1)
     assert 0 < running.tables.time < ENTRIES // 2
-    assert slow_clock[0] - began_at < engine.APPLY_MS + 5 * READING_MS
+    assert slow_clock[0] - began_at < engine.APPLY_BUDGET_MS + 5 * READING_MS
 
 
 def test_a_leader_serves_once_it_has_applied_all(folder, slow_clock):
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -15,20 +15,20 @@
 from ..telemetry import clock, journal, metric
 from ..transport import wire
 from . import (
+    absence_monitor,
+    advice_queue,
     assignment,
     delivery,
     engine,
-    intake,
     lease,
     link,
+    message_handler,
     proposal,
-    question,
     registry,
     request,
     silence,
     status,
     view,
-    watch,
 )
 
 _ROUND_S = 0.1
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Policy:
+class MembershipPolicy:
     """How many voters are wanted and how long a silent one is kept."""
 
     voters: int
@@ -53,7 +53,7 @@
         running: engine.Engine,
         lines: journal.Journal,
         metrics: metric.Metrics,
-        policy: Policy,
+        policy: MembershipPolicy,
         statuses: status.Statuses,
     ) -> None:
         """Prepare; nothing is done before this replica leads."""
@@ -65,7 +65,9 @@
         self._engine = running
         self._journal = lines
         self._metrics = metrics
-        self._watch = watch.Watch(running, lines, metrics)
+        self._absence_monitor = absence_monitor.AbsenceMonitor(
+            running, lines, metrics
+        )
         self._policy = policy
         self._term = 0
         self._dispatched_at = 0
@@ -80,7 +82,7 @@
             if self._engine.is_serving():
                 self._run_round(clock.monotonic_ms())
 
-    def change_role(self) -> None:
+    def update_role(self) -> None:
         """Start anew when this replica has begun to lead a term.
 
         It begins once all entries of earlier terms are applied: what is left
@@ -94,10 +96,11 @@
             self._term = running.term
             self._begin()
             self._engine.propose(
-                event.LeadershipBegun(self._engine.time()), proposal.ignore
+                event.LeadershipBegun(self._engine.time()),
+                proposal.ignore_outcome,
             )
         if running.role is not node.Role.LEADER:
-            self._watch.stop()
+            self._absence_monitor.clear()
         self.links.broadcast(self._members_changed())
 
     def carry_out(self, effects: list[effect.Effect]) -> None:
@@ -123,7 +126,7 @@
         planned = repair.admit(running, request.member)
         if planned is not None:
             self._journal.record('spare admitted', request.member.identity)
-            self._engine.enter(node.MembershipProposed(planned))
+            self._engine.enqueue(node.MembershipProposed(planned))
         return wire.JoinReply(known, '', members)
 
     def _begin(self) -> None:
@@ -140,10 +143,12 @@
             self._journal,
             now,
         )
-        self._silences = silence.Silences(self._engine, self._leases)
-        self._silences.take_over(now)
-        self._leases.begin_new(self._engine.tables.sessions, now)
-        self._questions = question.Questions(self.links)
+        self._silence_detector = silence.SilenceDetector(
+            self._engine, self._leases
+        )
+        self._silence_detector.restore(now)
+        self._leases.add_new(self._engine.tables.sessions, now)
+        self._advice_queue = advice_queue.AdviceQueue(self.links)
         self.registry.reset()
         self._requests = request.Requests(
             self._engine,
@@ -152,14 +157,14 @@
             self._metrics,
             self._statuses,
         )
-        self._intake = intake.Intake(
+        self._message_handler = message_handler.MessageHandler(
             self._engine,
-            intake.Duties(
+            message_handler.LeaderComponents(
                 self._leases,
-                self._silences,
+                self._silence_detector,
                 self._delivery,
                 self._assignments,
-                self._questions,
+                self._advice_queue,
                 self._requests,
             ),
         )
@@ -173,7 +178,7 @@
                     effect.EndSession: self._end_session,
                     effect.ReportJobEnd: self._report_job_end,
                     effect.PublishConfiguration: self._publish,
-                    effect.AskAdvice: self._questions.ask,
+                    effect.AskAdvice: self._advice_queue.add,
                     effect.Trace: self._trace,
                 }
             )
@@ -181,17 +186,17 @@
 
     def _run_round(self, now: int) -> None:
         tables = self._engine.tables
-        self._leases.begin_new(tables.sessions, now)
+        self._leases.add_new(tables.sessions, now)
         expired = self._leases.expire(list(tables.sessions), now)
         for session in expired:
             self._engine.propose(
                 event.SessionExpired(self._engine.time(), session),
-                proposal.ignore,
+                proposal.ignore_outcome,
             )
-        self._silences.review(now)
-        self._assignments.review(now)
-        self._questions.review()
-        self._delivery.resend(now)
+        self._silence_detector.check(now)
+        self._assignments.rebalance(now)
+        self._advice_queue.send_waiting()
+        self._delivery.resend_overdue(now)
         self._dispatch_when_due(now)
         if now - self._repaired_at >= _REPAIR_MS:
             self._repaired_at = now
@@ -234,7 +239,7 @@
         if planned is not None:
             listed = ', '.join(planned.voters())
             self._journal.record('membership proposed', f'voters {listed}')
-            self._engine.enter(node.MembershipProposed(planned))
+            self._engine.enqueue(node.MembershipProposed(planned))
 
     def _gauge(self) -> None:
         tables = self._engine.tables
@@ -244,10 +249,10 @@
         self._metrics.gauge('backlog', self._engine.backlog())
         self._metrics.gauge(
             'targets_of_busiest_entry',
-            max(self._assignments.count().values(), default=0),
+            max(self._assignments.count_by_entry().values(), default=0),
         )
-        self._watch.review()
-        for step, detail in view.explain_heads(tables):
+        self._absence_monitor.report()
+        for step, detail in view.explain_queue_heads(tables):
             job = step.split('.', maxsplit=1)[0]
             self._journal.record('first in queue', f'{step} {detail}', job=job)
 
@@ -270,7 +275,7 @@
 
     def _receive(self, origin: link.Link, received: wire.FromEntry) -> None:
         if self._engine.is_serving():
-            self._intake.take(origin, received)
+            self._message_handler.receive(origin, received)
 
     def _lease_length(self, session: identity.SessionId) -> int:
         known = self._engine.tables.sessions.get(session)
@@ -292,10 +297,10 @@
     def _end_session(self, effected: effect.EndSession) -> None:
         entry = self._leases.entry_of(effected.session)
         self.links.send(entry, wire.Gone((effected.session,)))
-        self._leases.forget(effected.session)
+        self._leases.remove(effected.session)
 
     def _report_job_end(self, effected: effect.ReportJobEnd) -> None:
-        self._requests.answer_waiting(effected.job)
+        self._requests.answer_job_waiters(effected.job)
 
     def _publish(self, effected: effect.PublishConfiguration) -> None:
         self.links.broadcast(self._configuration_changed())
--- a/mulberrywalk/replica/lease.py
+++ b/mulberrywalk/replica/lease.py
@@ -45,9 +45,7 @@
         self._sessions: dict[identity.SessionId, SessionLease] = {}
         self._expiring: set[identity.SessionId] = set()
 
-    def begin_new(
-        self, sessions: Iterable[identity.SessionId], now: int
-    ) -> None:
+    def add_new(self, sessions: Iterable[identity.SessionId], now: int) -> None:
         """Count the leases of sessions that are new to this leader from now."""
         for session in sessions:
             self._sessions.setdefault(session, SessionLease(now))
@@ -79,7 +77,7 @@
             self._sessions[session] = known
         known.entry = entry
 
-    def assume(self, session: identity.SessionId, renewed_at: int) -> None:
+    def backdate(self, session: identity.SessionId, renewed_at: int) -> None:
         """Count a lease that an earlier leader is known not to have renewed."""
         self._sessions[session] = SessionLease(renewed_at)
 
@@ -107,7 +105,7 @@
         self._expiring.update(expired)
         return expired
 
-    def forget(self, session: identity.SessionId) -> None:
+    def remove(self, session: identity.SessionId) -> None:
         """Drop a session that has ended."""
         self._sessions.pop(session, None)
         self._expiring.discard(session)
--- a/mulberrywalk/replica/lease_test.py
+++ b/mulberrywalk/replica/lease_test.py
@@ -38,8 +38,8 @@
 
 def test_target_that_comes_late_under_a_leader_is_not_expired_at_once():
     leases = lease.Leases(now=0)
-    leases.begin_new([SESSION], 60_000)
-    leases.begin_new([SESSION], 61_000)
+    leases.add_new([SESSION], 60_000)
+    leases.add_new([SESSION], 61_000)
     leases.assign(SESSION, 'e1')
     assert not leases.expire([SESSION], 60_000 + PATIENCE)
     assert leases.expire([SESSION], 60_001 + PATIENCE) == [SESSION]
--- a/mulberrywalk/replica/link.py
+++ b/mulberrywalk/replica/link.py
@@ -17,7 +17,7 @@
 _ELECTION_S = 0.5
 _POLL_S = 0.02
 
-FromStream = channel.Stream[wire.ToEntryBatch, wire.FromEntryBatch]
+EntryStream = channel.Stream[wire.ToEntryBatch, wire.FromEntryBatch]
 
 
 @dataclasses.dataclass(slots=True)
@@ -71,7 +71,7 @@
 
     async def accept(self, context: Any) -> None:
         """Serve an entry until either end closes or falls silent."""
-        stream: FromStream = channel.Stream(
+        stream: EntryStream = channel.Stream(
             context, wire.FromEntryBatch, self._meter
         )
         try:
@@ -96,7 +96,7 @@
                 self.open.pop(link.process)
 
     async def _read(
-        self, stream: FromStream, link: Link, first: wire.FromEntryBatch
+        self, stream: EntryStream, link: Link, first: wire.FromEntryBatch
     ) -> None:
         batch = first
         while True:
@@ -105,7 +105,7 @@
                 self._received(link, message)
             batch = await stream.receive()
 
-    async def _write(self, stream: FromStream, link: Link) -> None:
+    async def _write(self, stream: EntryStream, link: Link) -> None:
         while True:
             messages = await link.outbox.take(channel.PULSE_S)
             if not self._engine.is_serving():
@@ -140,7 +140,7 @@
         is_other = member is not None and replica.leader != replica.identity
         return member.address if member and is_other else ''
 
-    async def _redirect(self, stream: FromStream) -> None:
+    async def _redirect(self, stream: EntryStream) -> None:
         try:
             await stream.send(
                 self._batch((wire.Redirect(self._find_leader()),))
--- a/mulberrywalk/replica/intake.py
+++ b/mulberrywalk/replica/message_handler.py
@@ -11,37 +11,39 @@
 from ..telemetry import clock
 from ..transport import wire
 from . import (
+    advice_queue,
     assignment,
     delivery,
     engine,
     lease,
     link,
     proposal,
-    question,
     request,
     silence,
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Duties:
+class LeaderComponents:
     """The parts of a leader that messages of entries concern."""
 
     leases: lease.Leases
-    silences: silence.Silences
+    silence_detector: silence.SilenceDetector
     delivery: delivery.Delivery
     assignments: assignment.Assignments
-    questions: question.Questions
+    advice_queue: advice_queue.AdviceQueue
     requests: request.Requests
 
 
-class Intake:
+class MessageHandler:
     """Takes each message while this replica leads."""
 
-    def __init__(self, running: engine.Engine, duties: Duties) -> None:
-        """Hand messages on to the duties, or propose them as events."""
+    def __init__(
+        self, running: engine.Engine, components: LeaderComponents
+    ) -> None:
+        """Hand messages on to the components, or propose them as events."""
         self._engine = running
-        self._duties = duties
+        self._components = components
         self._takers: MappingProxyType[Any, Callable[..., None]] = (
             MappingProxyType(
                 {
@@ -56,19 +58,19 @@
             )
         )
 
-    def take(self, origin: link.Link, received: wire.FromEntry) -> None:
+    def receive(self, origin: link.Link, received: wire.FromEntry) -> None:
         """Take one message of an entry."""
         self._takers[type(received)](origin, received)
 
     def _take_call(self, origin: link.Link, received: wire.Call) -> None:
-        self._duties.requests.take(origin, received)
+        self._components.requests.serve(origin, received)
 
     def _take_departure(
         self, origin: link.Link, received: wire.Departure
     ) -> None:
         self._engine.propose(
             event.DepartureAnnounced(self._engine.time(), received.session),
-            proposal.ignore,
+            proposal.ignore_outcome,
         )
 
     def _take_pulse(self, origin: link.Link, received: wire.EntryPulse) -> None:
@@ -78,7 +80,7 @@
         origin.cost = received.cost
 
     def _take_advice(self, origin: link.Link, received: wire.Advised) -> None:
-        self._duties.questions.close(received.step)
+        self._components.advice_queue.complete(received.step)
         self._engine.propose(
             event.AdviceReceived(
                 self._engine.time(),
@@ -87,12 +89,12 @@
                 received.allowed,
                 received.age_ms,
             ),
-            proposal.ignore,
+            proposal.ignore_outcome,
         )
 
     def _renew(self, origin: link.Link, received: wire.Renewals) -> None:
         now = clock.monotonic_ms()
-        leases = self._duties.leases
+        leases = self._components.leases
         renewed: list[tuple[identity.SessionId, int]] = []
         gone: list[identity.SessionId] = []
         for session, count in received.sessions:
@@ -101,7 +103,7 @@
             elif self._may_renew(session, now):
                 renewed.append((session, count))
                 if leases.renew(session, origin.process, now):
-                    self._duties.delivery.resend_session(session, now)
+                    self._components.delivery.resend_session(session, now)
         if renewed:
             origin.send(wire.Renewed(tuple(renewed)))
         if gone:
@@ -109,15 +111,15 @@
 
     def _keep_carried(self, origin: link.Link, received: wire.Carried) -> None:
         now = clock.monotonic_ms()
-        assignments = self._duties.assignments
+        assignments = self._components.assignments
         gone = tuple(
             session
             for session in received.sessions
-            if not assignments.keep(session, origin, now)
+            if not assignments.accept_claim(session, origin, now)
         )
         if gone:
             origin.send(wire.Gone(gone))
-        assignments.give_again(origin, received.sessions, now)
+        assignments.resend_missing(origin, received.sessions, now)
 
     def _may_renew(self, session: identity.SessionId, now: int) -> bool:
         """Return whether a lease is neither over nor in a silence.
@@ -125,9 +127,11 @@
         After a silence it is renewed once it is noted that it is over: a later
         leader may count the lease from the silence.
         """
-        duties = self._duties
-        is_over = duties.leases.is_expiring(session)
-        return not is_over and duties.silences.hear(session, now)
+        components = self._components
+        is_over = components.leases.is_expiring(session)
+        return not is_over and components.silence_detector.record_contact(
+            session, now
+        )
 
     def _is_carried(
         self, session: identity.SessionId, origin: link.Link, now: int
@@ -135,10 +139,10 @@
         """Return whether a session is live, and may be with that entry."""
         if session not in self._engine.tables.sessions:
             return False
-        assignments = self._duties.assignments
-        return assignments.is_calling(
+        assignments = self._components.assignments
+        return assignments.may_renew(
             session, origin.process
-        ) or assignments.keep(session, origin, now)
+        ) or assignments.accept_claim(session, origin, now)
 
     def _bar_strangers(self, origin: link.Link, received: wire.Report) -> None:
         """Stop what a target runs that no live attempt of its session is.
--- a/mulberrywalk/replica/peer.py
+++ b/mulberrywalk/replica/peer.py
@@ -40,7 +40,7 @@
         self._scopes: dict[str, anyio.CancelScope] = {}
         self._introduced: dict[message.ReplicaId, message.Member] = {}
 
-    def introduce(self, members: tuple[message.Member, ...]) -> None:
+    def learn_members(self, members: tuple[message.Member, ...]) -> None:
         """Take note of replicas that the own log does not name yet.
 
         One with an empty log has to answer its leader to get a log at all.
@@ -60,7 +60,7 @@
             self._group.start_soon(self._serve_outbox, key, member)
         self._outboxes[key].put(body)
 
-    def forget_removed(self) -> None:
+    def close_removed(self) -> None:
         """Close the streams to replicas that are members no more."""
         kept = {
             f'{one.identity}@{one.address}'
@@ -82,7 +82,7 @@
                 batch = await stream.receive()
                 self._journal.clock.witness(batch.clock)
                 for body in batch.messages:
-                    self._engine.enter(node.Received(batch.sender, body))
+                    self._engine.enqueue(node.Received(batch.sender, body))
                 await stream.send(self._reply())
         except ConnectionError:
             return
@@ -94,7 +94,7 @@
                 try:
                     await self._feed(self._outboxes[key], member)
                 except ConnectionError:
-                    self._statuses.take(member.identity, None)
+                    self._statuses.update(member.identity, None)
                     await anyio.sleep(_REDIAL_S)
 
     async def _feed(
@@ -109,7 +109,7 @@
                 await stream.send(self._batch(taken))
                 reply = await stream.receive()
                 self._journal.clock.witness(reply.clock)
-                self._statuses.take(member.identity, reply.status)
+                self._statuses.update(member.identity, reply.status)
 
     def _reply(self) -> wire.PeerBatch:
         return msgspec.structs.replace(
--- a/mulberrywalk/replica/peer_test.py
+++ b/mulberrywalk/replica/peer_test.py
@@ -39,7 +39,7 @@
     statuses = status.Statuses(running, cost.Meter())
     peers = peer.Peers(running, lines, statuses, group)
     leader = message.Member(message.ReplicaId('a'), 'a:1', 'dc', True)
-    peers.introduce((leader,))
+    peers.learn_members((leader,))
     peers.send(leader.identity, message.PreVoteReply(1, granted=False))
     return [arguments[1] for arguments in group.started]
 
--- a/mulberrywalk/replica/program.py
+++ b/mulberrywalk/replica/program.py
@@ -46,7 +46,7 @@
     replicas: tuple[str, ...]
     statsd: str
     log_format: str
-    policy: leader.Policy
+    policy: leader.MembershipPolicy
     snapshot_entries: int
 
 
@@ -115,7 +115,7 @@
         replicas=checker.addresses('--replicas', replicas),
         statsd=checker.optional_address('--statsd', statsd),
         log_format=checker.choice('--log-format', log_format, _LOG_FORMATS),
-        policy=leader.Policy(
+        policy=leader.MembershipPolicy(
             checker.number('--voters', voters, 1, 9),
             checker.number(
                 '--repair-after-ms', repair_after_ms, 1000, _LONGEST_MS
@@ -148,13 +148,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class ReplicaComponents:
     """What an extension of the replica is composed with."""
 
     settings: Settings
     engine: engine.Engine
     leader: leader.Leader
-    lines: journal.Journal
+    logger: journal.Journal
     metrics: metric.Exposition
 
 
@@ -162,14 +162,14 @@
     """Adds interfaces of another kind to a replica."""
 
     @abc.abstractmethod
-    async def run(self, parts: Parts) -> None:
+    async def run(self, parts: ReplicaComponents) -> None:
         """Serve until it is cancelled."""
 
 
 class NoExtension(Extension):
     """The replica as it is."""
 
-    async def run(self, parts: Parts) -> None:
+    async def run(self, parts: ReplicaComponents) -> None:
         """Do nothing."""
 
 
@@ -201,7 +201,7 @@
         group.start_soon(_join_cell, settings, running, peers, lines)
         group.start_soon(_stop_on_signal, running, lines, group)
         extended = extension or NoExtension()
-        parts = Parts(settings, running, leading, lines, metrics)
+        parts = ReplicaComponents(settings, running, leading, lines, metrics)
         group.start_soon(extended.run, parts)
     await server.stop()
     disk.close()
@@ -228,8 +228,8 @@
 
 def _callbacks(peers: peer.Peers, leading: leader.Leader) -> engine.Callbacks:
     def changed() -> None:
-        peers.forget_removed()
-        leading.change_role()
+        peers.close_removed()
+        leading.update_role()
 
     return engine.Callbacks(peers.send, leading.carry_out, changed)
 
@@ -287,7 +287,7 @@
         asked.rotate(-1)
         reply = await _ask_to_join(address, encoded)
         if reply.members:
-            peers.introduce(reply.members)
+            peers.learn_members(reply.members)
         if reply.leader:
             asked.appendleft(reply.leader)
 
@@ -326,7 +326,7 @@
 
 async def _hand_over(running: engine.Engine, group: TaskGroup) -> None:
     with anyio.move_on_after(_HANDOVER_S):
-        running.enter(node.HandoverProposed())
+        running.enqueue(node.HandoverProposed())
         while running.node.role is node.Role.LEADER:
             await anyio.sleep(_POLL_S)
     group.cancel_scope.cancel()
--- a/mulberrywalk/replica/proposal.py
+++ b/mulberrywalk/replica/proposal.py
@@ -10,21 +10,22 @@
 
 from ..core import outcome
 
-BATCH_EVENTS = 256
+MAX_BATCH_EVENTS = 256
 
-# Told None when this replica cannot tell whether the event was committed.
-Told = Callable[[outcome.Outcome | None], None]
+# Called with None when this replica cannot tell whether the event was
+# committed.
+OutcomeCallback = Callable[[outcome.Outcome | None], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
     """An event as it stands in the log, and who is told its outcome."""
 
-    written: msgspec.Raw
-    told: Told
+    encoded: msgspec.Raw
+    callback: OutcomeCallback
 
 
-def ignore(told: outcome.Outcome | None) -> None:
+def ignore_outcome(told: outcome.Outcome | None) -> None:
     """Take an outcome that nobody waits for."""
 
 
@@ -36,31 +37,31 @@
         self._waiting: list[Proposal] = []
         self._pending: dict[int, list[Proposal]] = {}
 
-    def add(self, written: msgspec.Raw, told: Told) -> None:
+    def add(self, encoded: msgspec.Raw, callback: OutcomeCallback) -> None:
         """Let an event wait for the log."""
-        self._waiting.append(Proposal(written, told))
+        self._waiting.append(Proposal(encoded, callback))
 
     def count_waiting(self) -> int:
         """Return how many events wait for the log."""
         return len(self._waiting)
 
-    def take(self, index: int) -> list[msgspec.Raw]:
+    def take_batch(self, index: int) -> list[msgspec.Raw]:
         """Return the next events, which are to stand in the entry of index."""
-        batch = self._waiting[:BATCH_EVENTS]
-        self._waiting = self._waiting[BATCH_EVENTS:]
+        batch = self._waiting[:MAX_BATCH_EVENTS]
+        self._waiting = self._waiting[MAX_BATCH_EVENTS:]
         self._pending[index] = batch
-        return [proposal.written for proposal in batch]
+        return [proposal.encoded for proposal in batch]
 
-    def settle(self, index: int, outcomes: Iterable[outcome.Outcome]) -> None:
+    def resolve(self, index: int, outcomes: Iterable[outcome.Outcome]) -> None:
         """Tell the outcomes of an entry that was applied.
 
         The entry may hold more events than were proposed.
         """
         settled = self._pending.pop(index, [])
         for proposal, told in zip(settled, outcomes, strict=False):
-            proposal.told(told)
+            proposal.callback(told)
 
-    def give_up(self) -> None:
+    def abandon_all(self) -> None:
         """Tell that nobody knows what becomes of all that was proposed.
 
         Another leader may yet commit it.
@@ -70,4 +71,4 @@
         self._pending.clear()
         self._waiting.clear()
         for proposal in abandoned:
-            proposal.told(None)
+            proposal.callback(None)
--- a/mulberrywalk/replica/registry.py
+++ b/mulberrywalk/replica/registry.py
@@ -14,11 +14,11 @@
 from . import engine
 
 # How long after it took its leave a target may still run something.
-_FAREWELL_S = 0.5
+_DEREGISTER_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sighting:
+class TargetHeartbeat:
     """One announcement; sequence counts those of the target's life.
 
     remaining_ms is for how long a leaving target stays at least.
@@ -43,31 +43,33 @@
         """Forget what was heard under an earlier leader."""
         self._latest.clear()
 
-    async def announce(self, sighting: Sighting) -> outcome.Outcome | None:
+    async def process_heartbeat(
+        self, heartbeat: TargetHeartbeat
+    ) -> outcome.Outcome | None:
         """Return the outcome, or None when it is open who leads.
 
         One that is foreign is acknowledged and changes nothing.
         """
-        if self.is_foreign(sighting) or self._is_late(sighting):
+        if self.has_unknown_pool(heartbeat) or self._is_late(heartbeat):
             return outcome.Recorded()
-        announcement = sighting.announcement
+        announcement = heartbeat.announcement
         record = self._engine.tables.targets.get(announcement.target)
         session = self._find_session(announcement)
         if record is not None and session is not None:
-            if not sighting.is_leaving or record.is_leaving:
+            if not heartbeat.is_leaving or record.is_leaving:
                 return outcome.Recorded()
-            return await self._engine.decide(
+            return await self._engine.propose_and_wait(
                 event.DepartureAnnounced(
-                    self._engine.time(), session, sighting.remaining_ms
+                    self._engine.time(), session, heartbeat.remaining_ms
                 )
             )
-        if sighting.is_leaving:
+        if heartbeat.is_leaving:
             return outcome.Recorded()
-        return await self._engine.decide(
+        return await self._engine.propose_and_wait(
             event.SessionOpened(self._engine.time(), announcement)
         )
 
-    def is_foreign(self, sighting: Sighting) -> bool:
+    def has_unknown_pool(self, heartbeat: TargetHeartbeat) -> bool:
         """Return whether a life that is not known names no known pool.
 
         It is of another writer, or of a pool that is yet to be configured, and
@@ -76,16 +78,16 @@
         """
         tables = self._engine.tables
         routing = tables.configuration.routing
-        pool = sighting.announcement.pool
+        pool = heartbeat.announcement.pool
         named = {one.name for one in routing.pools}
         if not named or pool in named:
             return False
-        if self._find_session(sighting.announcement) is not None:
+        if self._find_session(heartbeat.announcement) is not None:
             return False
         specifications = (one.specification for one in tables.jobs.values())
         return all(one.pool != pool for one in specifications)
 
-    async def farewell(
+    async def deregister(
         self, target: identity.TargetId
     ) -> outcome.Outcome | None:
         """End the session of a target that was leaving and is gone now.
@@ -97,8 +99,8 @@
         if record is None or not record.is_leaving or record.session is None:
             return outcome.Recorded()
         session = record.session
-        await anyio.sleep(_FAREWELL_S)
-        return await self._engine.decide(
+        await anyio.sleep(_DEREGISTER_DELAY_S)
+        return await self._engine.propose_and_wait(
             event.SessionExpired(self._engine.time(), session)
         )
 
@@ -113,9 +115,9 @@
         known = tables.sessions[record.session]
         return record.session if known.nonce == announcement.nonce else None
 
-    def _is_late(self, sighting: Sighting) -> bool:
-        announcement = sighting.announcement
-        stamp = (announcement.born_at, sighting.sequence)
+    def _is_late(self, heartbeat: TargetHeartbeat) -> bool:
+        announcement = heartbeat.announcement
+        stamp = (announcement.born_at, heartbeat.sequence)
         if stamp < self._latest.get(announcement.target, stamp):
             return True
         self._latest[announcement.target] = stamp
--- a/mulberrywalk/replica/registry_test.py
+++ b/mulberrywalk/replica/registry_test.py
@@ -25,7 +25,7 @@
     def time(self):
         return self.cell.now
 
-    async def decide(self, occurred):
+    async def propose_and_wait(self, occurred):
         self.decided.append(type(occurred))
         fields = [
             getattr(occurred, name) for name in occurred.__struct_fields__
@@ -37,7 +37,7 @@
     announced = cell_test.announce(
         0, str(born_at), born_at=born_at, address='a:1'
     )
-    return registry.Sighting(announced, sequence, is_leaving)
+    return registry.TargetHeartbeat(announced, sequence, is_leaving)
 
 
 def announce(*sightings):
@@ -45,7 +45,7 @@
     heard = registry.Registry(running)
 
     async def run():
-        return [await heard.announce(one) for one in sightings]
+        return [await heard.process_heartbeat(one) for one in sightings]
 
     return running, anyio.run(run)
 
@@ -86,16 +86,16 @@
 
 
 def test_farewell_counts_only_after_a_departure(monkeypatch):
-    monkeypatch.setattr(registry, '_FAREWELL_S', 0)
+    monkeypatch.setattr(registry, '_DEREGISTER_DELAY_S', 0)
     running = FakeEngine()
     heard = registry.Registry(running)
 
     async def run():
-        await heard.announce(sight(1))
-        await heard.farewell(TARGET)
+        await heard.process_heartbeat(sight(1))
+        await heard.deregister(TARGET)
         assert TARGET in running.tables.targets
-        await heard.announce(sight(2, is_leaving=True))
-        await heard.farewell(TARGET)
+        await heard.process_heartbeat(sight(2, is_leaving=True))
+        await heard.deregister(TARGET)
         assert TARGET not in running.tables.targets
 
     anyio.run(run)
@@ -124,12 +124,12 @@
     )
 
     async def run():
-        await heard.announce(of_pool('p', sight(1)))
+        await heard.process_heartbeat(of_pool('p', sight(1)))
         for odd in (other, dataclasses.replace(other, announcement=neighbour)):
-            assert heard.is_foreign(of_pool('odd', odd))
-            told = await heard.announce(of_pool('odd', odd))
+            assert heard.has_unknown_pool(of_pool('odd', odd))
+            told = await heard.process_heartbeat(of_pool('odd', odd))
             assert isinstance(told, outcome.Recorded)
-        await heard.announce(of_pool('p', sight(2, is_leaving=True)))
+        await heard.process_heartbeat(of_pool('p', sight(2, is_leaving=True)))
 
     anyio.run(run)
     assert running.decided == [event.SessionOpened, event.DepartureAnnounced]
@@ -141,9 +141,9 @@
     heard = registry.Registry(running)
 
     async def run():
-        await heard.announce(of_pool('p', sight(1)))
+        await heard.process_heartbeat(of_pool('p', sight(1)))
         configure(running, 'other')
-        await heard.announce(of_pool('p', sight(2, is_leaving=True)))
+        await heard.process_heartbeat(of_pool('p', sight(2, is_leaving=True)))
 
     anyio.run(run)
     assert running.tables.targets[TARGET].is_leaving
@@ -158,14 +158,14 @@
         'r', 'a', job.Kind.WORKFLOW, steps=needs, pool='p'
     )
     running.cell.apply(event.JobSubmitted, submitted, 'd')
-    assert not heard.is_foreign(of_pool('p', sight(1)))
-    assert heard.is_foreign(of_pool('q', sight(1)))
+    assert not heard.has_unknown_pool(of_pool('p', sight(1)))
+    assert heard.has_unknown_pool(of_pool('q', sight(1)))
 
 
 def test_target_is_taken_before_any_pool_is_named_and_once_its_own_is():
     running = FakeEngine()
     heard = registry.Registry(running)
-    assert not heard.is_foreign(of_pool('p', sight(1)))
+    assert not heard.has_unknown_pool(of_pool('p', sight(1)))
     configure(running, 'other')
-    assert heard.is_foreign(of_pool('p', sight(1)))
-    assert not heard.is_foreign(of_pool('other', sight(1)))
+    assert heard.has_unknown_pool(of_pool('p', sight(1)))
+    assert not heard.has_unknown_pool(of_pool('other', sight(1)))
--- a/mulberrywalk/replica/request.py
+++ b/mulberrywalk/replica/request.py
@@ -38,12 +38,12 @@
         self._metrics = metrics
         self._waiters: dict[identity.JobId, list[Waiter]] = {}
 
-    def take(self, origin: link.Link, call: wire.Call) -> None:
+    def serve(self, origin: link.Link, call: wire.Call) -> None:
         """Answer a call, now or when its event is committed."""
         answer = _ANSWERS[type(call.request)]
         answer(self, origin, call.ticket, call.request)
 
-    def answer_waiting(self, job: identity.JobId) -> None:
+    def answer_job_waiters(self, job: identity.JobId) -> None:
         """Answer those that wait for the end of a job."""
         for origin, ticket in self._waiters.pop(job, []):
             self.answer_job(origin, ticket, wire.GetJob(job))
@@ -120,7 +120,7 @@
             shown = view.show_job(self._engine.tables, record)
             _reply(origin, ticket, {codec.TAG: 'job', **shown})
 
-    def answer_state(
+    def answer_job_state(
         self, origin: link.Link, ticket: int, request: wire.GetState
     ) -> None:
         """Answer with the state of a job alone."""
@@ -128,7 +128,7 @@
         if record is None:
             _reply_not_found(origin, ticket, request.job)
             return
-        shown = view.state_of(record).value
+        shown = view.reported_state(record).value
         _reply(origin, ticket, {codec.TAG: 'job_state', 'state': shown})
 
     def count_pending(
@@ -241,7 +241,7 @@
         wire.GetTargets: Requests.answer_targets,
         wire.OpenSession: Requests.open_session,
         wire.DrainTarget: Requests.drain_target,
-        wire.GetState: Requests.answer_state,
+        wire.GetState: Requests.answer_job_state,
         wire.CountPending: Requests.count_pending,
     }
 )
--- a/mulberrywalk/replica/silence.py
+++ b/mulberrywalk/replica/silence.py
@@ -14,14 +14,14 @@
 
 # A target at work is looked at more often than an idle one, whose last look
 # may wait for a second yet when work comes.
-BUSY_MS = 1300
-IDLE_MS = 2500
+BUSY_TIMEOUT_MS = 1300
+IDLE_TIMEOUT_MS = 2500
 # The clock of events may run fast by a tenth against the monotonic one.
 _SURE_PERCENT = 90
 _PERCENT = 100
 
 
-class Silences:
+class SilenceDetector:
     """Notes when targets fall silent, and when they are heard again.
 
     Times are milliseconds of this process's monotonic clock.
@@ -35,7 +35,7 @@
         self._heard_at: dict[identity.SessionId, int] = {}
         self._busy_from: dict[identity.SessionId, int] = {}
 
-    def take_over(self, now: int) -> None:
+    def restore(self, now: int) -> None:
         """Count the leases of silent targets from when they fell silent.
 
         Noted again by the clock of this leader, so that the next one may
@@ -48,10 +48,10 @@
             passed = max(0, tables.time - record.silence.noted_at)
             sure = passed * _SURE_PERCENT // _PERCENT
             quiet_ms = record.silence.quiet_ms + sure
-            self._leases.assume(record.session, now - quiet_ms)
+            self._leases.backdate(record.session, now - quiet_ms)
             self._note(record.session, quiet_ms)
 
-    def review(self, now: int) -> None:
+    def check(self, now: int) -> None:
         """Propose each silence that has begun, once."""
         sessions = self._engine.tables.sessions
         self._heard_at = {
@@ -73,7 +73,7 @@
             if name in sessions
         }
 
-    def hear(self, session: identity.SessionId, now: int) -> bool:
+    def record_contact(self, session: identity.SessionId, now: int) -> bool:
         """Return whether a target that is heard is in no silence.
 
         Neither in one that was proposed: it may be committed yet.
@@ -94,7 +94,10 @@
         if self._is_noted(session):
             return False
         busy_ms = now - self._busy_from.get(session, now)
-        return quiet_ms > IDLE_MS or min(quiet_ms, busy_ms) > BUSY_MS
+        return (
+            quiet_ms > IDLE_TIMEOUT_MS
+            or min(quiet_ms, busy_ms) > BUSY_TIMEOUT_MS
+        )
 
     def _is_silent(self, name: identity.SessionId) -> bool:
         tables = self._engine.tables
@@ -109,5 +112,5 @@
         self._noted[session] = bool(quiet_ms)
         self._engine.propose(
             event.SilenceNoted(self._engine.time(), session, quiet_ms),
-            proposal.ignore,
+            proposal.ignore_outcome,
         )
--- a/mulberrywalk/replica/silence_test.py
+++ b/mulberrywalk/replica/silence_test.py
@@ -38,9 +38,9 @@
 
     def __init__(self, engine, now=0):
         self.leases = lease.Leases(now)
-        self.silences = silence.Silences(engine, self.leases)
-        self.silences.take_over(now)
-        self.silences.review(now)
+        self.detector = silence.SilenceDetector(engine, self.leases)
+        self.detector.restore(now)
+        self.detector.check(now)
 
 
 @pytest.fixture
@@ -51,11 +51,11 @@
 def test_a_silent_target_is_noted_once(engine):
     scene = Scene(engine)
     scene.leases.renew(engine.session, 'e0', 1000)
-    scene.silences.review(1000 + silence.IDLE_MS)
+    scene.detector.check(1000 + silence.IDLE_TIMEOUT_MS)
     assert not engine.proposed
     for passed in (1, 2):
-        scene.silences.review(1000 + silence.IDLE_MS + passed)
-    assert engine.proposed == [silence.IDLE_MS + 1]
+        scene.detector.check(1000 + silence.IDLE_TIMEOUT_MS + passed)
+    assert engine.proposed == [silence.IDLE_TIMEOUT_MS + 1]
 
 
 def test_a_target_at_work_is_noted_sooner(engine):
@@ -63,9 +63,9 @@
     scene.leases.renew(engine.session, 'e0', 1000)
     engine.cell.submit(cell_test.specify(1))
     engine.cell.dispatch()
-    scene.silences.review(1000)
-    scene.silences.review(1001 + silence.BUSY_MS)
-    assert engine.proposed == [silence.BUSY_MS + 1]
+    scene.detector.check(1000)
+    scene.detector.check(1001 + silence.BUSY_TIMEOUT_MS)
+    assert engine.proposed == [silence.BUSY_TIMEOUT_MS + 1]
 
 
 def test_a_target_that_was_idle_is_not_silent_once_it_has_work(engine):
@@ -73,29 +73,29 @@
     scene.leases.renew(engine.session, 'e0', 1000)
     engine.cell.submit(cell_test.specify(1))
     engine.cell.dispatch()
-    placed_at = 1000 + silence.BUSY_MS
-    for passed in (1, silence.IDLE_MS - silence.BUSY_MS):
-        scene.silences.review(placed_at + passed)
+    placed_at = 1000 + silence.BUSY_TIMEOUT_MS
+    for passed in (1, silence.IDLE_TIMEOUT_MS - silence.BUSY_TIMEOUT_MS):
+        scene.detector.check(placed_at + passed)
     assert not engine.proposed
 
 
 def test_a_session_that_is_new_to_an_old_leader_is_not_silent(engine):
-    silences = silence.Silences(engine, lease.Leases(0))
-    silences.review(60_000)
+    detector = silence.SilenceDetector(engine, lease.Leases(0))
+    detector.check(60_000)
     assert not engine.proposed
 
 
 def test_a_lease_is_renewed_only_once_the_silence_is_noted_as_over(engine):
     scene = Scene(engine)
     engine.is_committing = False
-    scene.silences.review(60_000)
+    scene.detector.check(60_000)
     # Proposed and not committed: a later leader may come to count from it.
-    assert not scene.silences.hear(engine.session, 60_001)
+    assert not scene.detector.record_contact(engine.session, 60_001)
     engine.cell.apply(event.SilenceNoted, engine.session, engine.proposed[0])
-    assert not scene.silences.hear(engine.session, 60_002)
+    assert not scene.detector.record_contact(engine.session, 60_002)
     engine.cell.apply(event.SilenceNoted, engine.session, 0)
-    assert scene.silences.hear(engine.session, 60_003)
-    scene.silences.review(60_004)
+    assert scene.detector.record_contact(engine.session, 60_003)
+    scene.detector.check(60_004)
     assert engine.proposed[1:] == [0]
 
 
--- a/mulberrywalk/replica/machine.py
+++ b/mulberrywalk/replica/state_machine.py
@@ -21,7 +21,7 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def write(occurred: event.Event) -> msgspec.Raw:
+def encode_event(occurred: event.Event) -> msgspec.Raw:
     """Return an event as it stands in the log.
 
     Raises UnreadableError when the log cannot hold it, or when no replica
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Applied:
+class AppliedEntry:
     """An entry that was applied, and the effects of each of its events."""
 
     entry: message.LogEntry
@@ -45,7 +45,7 @@
         return [_outcome_of(effects) for effects in self.effects]
 
 
-class Machine:
+class StateMachine:
     """Applies committed entries in order."""
 
     def __init__(
@@ -60,7 +60,7 @@
         if held is not None:
             self.install(held)
 
-    def take(self, entry: message.LogEntry) -> None:
+    def enqueue(self, entry: message.LogEntry) -> None:
         """Keep a committed entry to be applied."""
         self._committed.append(entry)
 
@@ -70,11 +70,11 @@
         self.applied_index = received.index
         self._pass_over()
 
-    def is_behind(self) -> bool:
+    def has_pending(self) -> bool:
         """Return whether entries wait to be applied."""
         return bool(self._committed)
 
-    def apply_next(self) -> Applied:
+    def apply_next(self) -> AppliedEntry:
         """Apply the first entry that waits."""
         entry = self._committed.popleft()
         self.applied_index = entry.index
@@ -82,7 +82,7 @@
         if entry.kind is message.EntryKind.COMMAND:
             events = _events_decoder.decode(entry.payload)
         effects = [reducer.reduce(self.tables, one)[1] for one in events]
-        return Applied(entry, effects)
+        return AppliedEntry(entry, effects)
 
     def _pass_over(self) -> None:
         waiting = self._committed
--- a/mulberrywalk/replica/machine_test.py
+++ b/mulberrywalk/replica/state_machine_test.py
@@ -4,7 +4,7 @@
 
 from ..consensus import message
 from ..core import event, outcome, snapshot, state
-from . import machine
+from . import state_machine
 
 
 def entry(index, *times):
@@ -13,22 +13,24 @@
 
 
 def test_entries_are_applied_one_by_one():
-    applying = machine.Machine(None, [entry(1, 10), entry(2, 20, 30)])
+    applying = state_machine.StateMachine(
+        None, [entry(1, 10), entry(2, 20, 30)]
+    )
     applying.apply_next()
     assert (applying.applied_index, applying.tables.time) == (1, 10)
-    assert applying.is_behind()
+    assert applying.has_pending()
     last = applying.apply_next()
     assert last.outcomes() == [outcome.Recorded(), outcome.Recorded()]
     assert (applying.applied_index, applying.tables.time) == (2, 30)
-    assert not applying.is_behind()
+    assert not applying.has_pending()
 
 
 def test_entries_under_a_snapshot_are_passed_over():
-    applying = machine.Machine(None, [entry(1, 10), entry(2, 20)])
+    applying = state_machine.StateMachine(None, [entry(1, 10), entry(2, 20)])
     payload = snapshot.encode(state.State(time=99))
     received = message.Snapshot(2, 1, message.Membership(()), payload)
-    applying.take(entry(3, 100))
+    applying.enqueue(entry(3, 100))
     applying.install(received)
     assert applying.tables.time == 99
     assert applying.apply_next().entry.index == 3
-    assert not applying.is_behind()
+    assert not applying.has_pending()
--- a/mulberrywalk/replica/status.py
+++ b/mulberrywalk/replica/status.py
@@ -28,7 +28,7 @@
             return self.own()
         return self._told.get(replica)
 
-    def take(
+    def update(
         self, replica: message.ReplicaId, status: wire.Status | None
     ) -> None:
         """Keep what a replica tells; None when its connection is gone."""
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -33,7 +33,7 @@
         'team': record.specification.team,
         'kind': record.specification.kind.value,
         'urgency': record.specification.urgency.value,
-        'state': state_of(record).value,
+        'state': reported_state(record).value,
         'submitted_at': record.submitted_at,
         'ended_at': record.ended_at,
         'is_cancelled': record.is_cancelled,
@@ -41,7 +41,7 @@
     }
 
 
-def state_of(record: job.Job) -> job.JobState:
+def reported_state(record: job.Job) -> job.JobState:
     """Return the state of a job, final as soon as it is decided."""
     if record.unfinished and record.is_abandoned:
         return job.JobState.FAILED
@@ -69,7 +69,7 @@
     }
 
 
-def explain_heads(tables: state.State) -> list[tuple[str, str]]:
+def explain_queue_heads(tables: state.State) -> list[tuple[str, str]]:
     """Return the first waiting step of each queue, and what it lacks."""
     heads = (queue[0].task for queue in tables.waiting.queues.values() if queue)
     return [
