--- a/mulberrywalk/entry/ending.py
+++ b/mulberrywalk/entry/acknowledgement.py
@@ -9,7 +9,7 @@
 _REPORT_AGAIN_MS = 1000
 
 
-class Ledger:
+class EndTracker:
     """The listed ends of one life of a target, by their numbers.
 
     acknowledged is the number up to which the target may forget them.
@@ -22,20 +22,18 @@
         self._reported_at: dict[identity.AttemptId, int] = {}
         self._done: set[int] = set()
 
-    def is_settled(self) -> bool:
+    def is_acknowledged(self) -> bool:
         """Return whether all ends that were listed are acknowledged."""
         return not self._numbers
 
-    def begin_listing(self, lowest: int) -> None:
+    def skip_below(self, lowest: int) -> None:
         """Take note of the lowest number that is listed.
 
         Lower ones were forgotten when another entry acknowledged them.
         """
         self.acknowledged = max(self.acknowledged, lowest - 1)
 
-    def list_end(
-        self, attempt: identity.AttemptId, number: int, now: int
-    ) -> bool:
+    def track(self, attempt: identity.AttemptId, number: int, now: int) -> bool:
         """Take a listed end; return whether it is to be reported now.
 
         now is a monotonic time in milliseconds.
@@ -47,7 +45,7 @@
         self._reported_at[attempt] = now
         return True
 
-    def report_again(self) -> None:
+    def reset_reports(self) -> None:
         """Let all that is listed be reported at the next look."""
         self._reported_at.clear()
 
--- a/mulberrywalk/entry/address.py
+++ b/mulberrywalk/entry/address.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 
 # A replica that has failed is dialled after all others for so long.
-AVOID_MS = 3000
+FAILURE_BACKOFF_MS = 3000
 
 
-class Addresses:
+class ReplicaAddresses:
     """Addresses of replicas, host:port; times are monotonic milliseconds."""
 
     def __init__(self, known: Iterable[str]) -> None:
@@ -28,14 +28,15 @@
         address = min(
             self._known,
             key=lambda one: (
-                now - self._failed_at.get(one, -AVOID_MS) < AVOID_MS
+                now - self._failed_at.get(one, -FAILURE_BACKOFF_MS)
+                < FAILURE_BACKOFF_MS
             ),
         )
         self._known.remove(address)
         self._known.append(address)
         return address
 
-    def fail(self, address: str, now: int) -> None:
+    def mark_failed(self, address: str, now: int) -> None:
         """Note that an address did not answer."""
         self._failed_at[address] = now
 
--- a/mulberrywalk/entry/adviser.py
+++ b/mulberrywalk/entry/adviser.py
@@ -16,7 +16,7 @@
 _LONGEST_QUEUE = 24
 
 
-class AdviserCaller(abc.ABC):
+class AdviserClient(abc.ABC):
     """Makes the calls to the adviser."""
 
     @abc.abstractmethod
@@ -26,12 +26,12 @@
         """Return allowed targets with their tickets, or None on failure."""
 
 
-class Adviser:
+class AdviceQueue:
     """Asks the questions of the leader in turn."""
 
     def __init__(
         self,
-        caller: AdviserCaller,
+        caller: AdviserClient,
         leader: upstream.Upstream,
         lines: journal.Journal,
     ) -> None:
@@ -41,9 +41,9 @@
         self._journal = lines
         self._wanted: collections.deque[wire.AdviceWanted] = collections.deque()
         self._filled = anyio.Event()
-        leader.ask_advice = self.take
+        leader.on_advice_wanted = self.enqueue
 
-    def take(self, wanted: wire.AdviceWanted) -> None:
+    def enqueue(self, wanted: wire.AdviceWanted) -> None:
         """Queue a question, or answer at once that it failed."""
         if len(self._wanted) >= _LONGEST_QUEUE:
             self._leader.send(wire.Advised(wanted.step, (), (), 0))
--- a/mulberrywalk/entry/connection.py
+++ b/mulberrywalk/entry/connection.py
@@ -39,7 +39,7 @@
         self.outbox: channel.Outbox[protocol.ToTarget] = channel.Outbox()
         self._journal = lines
 
-    def is_called(self) -> bool:
+    def is_polled(self) -> bool:
         """Return that the target has dialled in."""
         return False
 
@@ -71,7 +71,7 @@
         """Tell the target that its session is over."""
         self.outbox.put(protocol.Expired(self._stamp()))
 
-    def move_away(self) -> None:
+    def relocate(self) -> None:
         """Ask the target to resume at another entry."""
         self.outbox.put(protocol.Move(self._stamp()))
 
@@ -94,14 +94,14 @@
         self._journal = lines
         self._is_moving = False
 
-    def stop_taking(self) -> None:
+    def announce_stopping(self) -> None:
         """Let the leader know that this entry is stopping."""
         self._leader.is_stopping = True
 
-    def move_away(self) -> None:
+    def relocate(self) -> None:
         """Take no more targets, and let go of all."""
         self._is_moving = True
-        self._sessions.move_away()
+        self._sessions.relocate()
 
     def count(self) -> int:
         """Return how many targets this entry carries."""
@@ -174,7 +174,9 @@
         self, connection: Connection, received: protocol.FromTarget
     ) -> None:
         if isinstance(received, protocol.Renew):
-            self._sessions.ask_renewal(connection.session, received.sequence)
+            self._sessions.request_renewal(
+                connection.session, received.sequence
+            )
         elif isinstance(received, protocol.Report):
             self._take_report(connection, received)
         elif isinstance(received, protocol.Leave):
--- a/mulberrywalk/entry/connection_test.py
+++ b/mulberrywalk/entry/connection_test.py
@@ -7,7 +7,7 @@
 from starlette import testclient, websockets
 
 from ..telemetry import cost, journal, metric
-from . import caller, connection, session, upstream
+from . import connection, http_api, session, upstream
 
 HELLO = MappingProxyType(
     {
@@ -42,7 +42,7 @@
     lines = journal.Journal(journal.Origin('e', 'd'))
     sessions = session.Sessions(leader)
     targets = connection.Connections(leader, sessions, lines)
-    interface = caller.Interface(leader, targets, lines, metric.NoMetrics())
+    interface = http_api.HttpApi(leader, targets, lines, metric.NoMetrics())
     return testclient.TestClient(interface.application())
 
 
--- a/mulberrywalk/entry/filler.py
+++ b/mulberrywalk/entry/filler.py
@@ -6,10 +6,10 @@
 
 from ..core import identity
 from ..transport import wire
-from . import calling, pacing
+from . import pacing, target_client
 
 
-class Fillers:
+class FillerPacer:
     """Who fills and who serves on a target, and the orders that follow."""
 
     def __init__(self, shares: Iterable[wire.Share]) -> None:
@@ -25,14 +25,14 @@
         self._shares[start.attempt] = wire.Share(
             start.attempt, start.latency_target_ms, start.is_filler
         )
-        self._told.setdefault(start.attempt, pacing.WHOLE)
+        self._told.setdefault(start.attempt, pacing.FULL_PERCENT)
 
     def forget(self, attempt: identity.AttemptId) -> None:
         """Drop what has ended."""
         self._shares.pop(attempt, None)
         self._told.pop(attempt, None)
 
-    def mistrust(self, attempt: identity.AttemptId) -> None:
+    def forget_pace(self, attempt: identity.AttemptId) -> None:
         """Forget what a filler was told, for it may not have heard it."""
         self._told.pop(attempt, None)
 
@@ -40,12 +40,12 @@
         """Return whether nothing is known to run."""
         return not self._shares
 
-    def is_shared(self) -> bool:
+    def has_filler(self) -> bool:
         """Return whether there is any filler."""
         return any(one.is_filler for one in self._shares.values())
 
     def decide(
-        self, running: Iterable[calling.Running], now: int
+        self, running: Iterable[target_client.RunningAttempt], now: int
     ) -> list[tuple[identity.AttemptId, int]]:
         """Return the fillers that have to be told a share, in percent."""
         shared = [
@@ -54,7 +54,7 @@
             if one.attempt in self._shares
         ]
         readings = [
-            pacing.Reading(share.latency_target_ms, one.gauge)
+            pacing.LatencyReading(share.latency_target_ms, one.gauge)
             for one, share in shared
             if share.latency_target_ms
         ]
--- a/mulberrywalk/entry/caller.py
+++ b/mulberrywalk/entry/http_api.py
@@ -14,7 +14,7 @@
 from ..core import identity, job, workflow
 from ..telemetry import journal, metric
 from ..transport import channel, codec, reading, wire
-from . import answer, connection, upstream
+from . import connection, http_response, upstream
 
 MAX_BODY_BYTES = 4_194_304
 MAX_WAIT_S = 300.0
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Duty:
+class ServingState:
     """What the entry is doing, for readiness and a planned stop."""
 
     is_draining: bool = False
@@ -51,7 +51,7 @@
         self.in_progress -= 1
 
 
-class Interface:
+class HttpApi:
     """Answers HTTP requests by calls to the leader."""
 
     def __init__(
@@ -62,7 +62,7 @@
         metrics: metric.Metrics,
     ) -> None:
         """Prepare; application returns what a server serves."""
-        self.duty = Duty()
+        self.serving_state = ServingState()
         self._leader = leader
         self._targets = targets
         self._journal = lines
@@ -93,15 +93,15 @@
         """Submit a job and, when asked to, wait for its end."""
         encoded = await read_body(request)
         seconds = parse_wait(request)
-        if isinstance(encoded, answer.InputError):
-            return answer.respond_error(encoded)
-        if isinstance(seconds, answer.InputError):
-            return answer.respond_error(seconds)
+        if isinstance(encoded, http_response.InputError):
+            return http_response.respond_error(encoded)
+        if isinstance(seconds, http_response.InputError):
+            return http_response.respond_error(seconds)
         specification = _decode_job(encoded)
-        if isinstance(specification, answer.InputError):
-            return answer.respond_error(specification)
+        if isinstance(specification, http_response.InputError):
+            return http_response.respond_error(specification)
         if not self._leader.is_current():
-            return answer.respond_not_ready(
+            return http_response.respond_not_ready(
                 'the configuration could not be confirmed'
             )
         digest = hashlib.sha256(
@@ -110,7 +110,7 @@
         submission = wire.Submit(specification, digest)
         reply = await self._leader.propose(submission, _CALL_S)
         if reply is None:
-            return answer.respond_unknown(specification.request_id)
+            return http_response.respond_unknown(specification.request_id)
         told = reply[codec.TAG]
         self._journal.record(
             'answered',
@@ -120,20 +120,20 @@
         self._metrics.incr(f'submit.{told}')
         if seconds and told == 'accepted':
             return await self._wait(reply, seconds)
-        return answer.respond(reply)
+        return http_response.respond(reply)
 
     async def get_job(self, request: requests.Request) -> responses.Response:
         """Return a job; held until its end when asked to wait."""
         seconds = parse_wait(request)
-        if isinstance(seconds, answer.InputError):
-            return answer.respond_error(seconds)
+        if isinstance(seconds, http_response.InputError):
+            return http_response.respond_error(seconds)
         name = _job_of(request)
         if seconds:
             reply = await self._leader.call(
                 wire.GetJob(name, is_waiting=True), seconds
             )
             if reply is not None:
-                return answer.respond(reply)
+                return http_response.respond(reply)
         return await self._ask(wire.GetJob(name), name)
 
     async def cancel(self, request: requests.Request) -> responses.Response:
@@ -157,13 +157,13 @@
     ) -> responses.Response:
         """Patch the configuration."""
         encoded = await read_body(request)
-        if isinstance(encoded, answer.InputError):
-            return answer.respond_error(encoded)
+        if isinstance(encoded, http_response.InputError):
+            return http_response.respond_error(encoded)
         patch = _decode_patch(encoded)
-        if isinstance(patch, answer.InputError):
-            return answer.respond_error(patch)
+        if isinstance(patch, http_response.InputError):
+            return http_response.respond_error(patch)
         if not self._leader.is_current():
-            return answer.respond_not_ready(
+            return http_response.respond_not_ready(
                 'the configuration could not be confirmed'
             )
         return await self._ask(
@@ -200,7 +200,9 @@
                     strict=False,
                 )
         except reading.UnreadableError as error:
-            return answer.respond_error(answer.invalid(error))
+            return http_response.respond_error(
+                http_response.decoding_error(error)
+            )
         collected = self._journal.find(wanted)
         unreachable: list[str] = []
         for address in self._leader.addresses.all():
@@ -210,7 +212,7 @@
             else:
                 collected.extend(lines)
         merged = msgspec.to_builtins(journal.merge(collected))
-        return answer.respond_plain(
+        return http_response.respond_plain(
             {
                 'lines': merged,
                 'unreachable': unreachable,
@@ -219,21 +221,23 @@
 
     async def get_health(self, _: requests.Request) -> responses.Response:
         """Return that the process runs, and what it carries."""
-        return answer.respond_plain(
+        return http_response.respond_plain(
             {
                 'status': 'up',
                 'targets': self._targets.count(),
-                'in_progress': self.duty.in_progress,
+                'in_progress': self.serving_state.in_progress,
             }
         )
 
     async def get_readiness(self, _: requests.Request) -> responses.Response:
         """Return whether the balancer should send requests here."""
-        if self.duty.is_draining:
-            return answer.respond_not_ready('this entry is stopping')
+        if self.serving_state.is_draining:
+            return http_response.respond_not_ready('this entry is stopping')
         if not self._leader.is_current():
-            return answer.respond_not_ready('no leader confirms this entry')
-        return answer.respond_plain({'status': 'ready'})
+            return http_response.respond_not_ready(
+                'no leader confirms this entry'
+            )
+        return http_response.respond_plain({'status': 'ready'})
 
     async def accept_target(self, socket: websockets.WebSocket) -> None:
         """Serve a target."""
@@ -243,7 +247,7 @@
         self, path: str, endpoint: Endpoint, method: str
     ) -> routing.Route:
         async def serve(request: requests.Request) -> responses.Response:
-            with self.duty:
+            with self.serving_state:
                 return await endpoint(request)
 
         return routing.Route(path, serve, methods=[method])
@@ -255,61 +259,63 @@
         reply = await self._leader.call(
             wire.GetJob(name, is_waiting=True), seconds
         )
-        return answer.respond(accepted if reply is None else reply)
+        return http_response.respond(accepted if reply is None else reply)
 
     async def _ask(
         self, request: wire.Request, request_id: str = ''
     ) -> responses.Response:
         reply = await self._leader.propose(request, _CALL_S)
         if reply is None:
-            return answer.respond_unknown(request_id)
-        return answer.respond(reply)
+            return http_response.respond_unknown(request_id)
+        return http_response.respond(reply)
 
 
 async def read_body(
     request: requests.Request,
-) -> bytes | answer.InputError:
+) -> bytes | http_response.InputError:
     """Return the body of a request, or the error when it is too large."""
     chunks: list[bytes] = []
     size = 0
     async for chunk in request.stream():
         size += len(chunk)
         if size > MAX_BODY_BYTES:
-            return answer.too_large(MAX_BODY_BYTES)
+            return http_response.body_too_large(MAX_BODY_BYTES)
         chunks.append(chunk)
     return b''.join(chunks)
 
 
-def decode(encoded: bytes, kind: type[Body]) -> Body | answer.InputError:
+def decode(encoded: bytes, kind: type[Body]) -> Body | http_response.InputError:
     """Return a decoded body, or the error that names the field."""
     try:
         with reading.refused_as():
             return msgspec.json.decode(encoded, type=kind)
     except reading.UnreadableError as error:
-        return answer.invalid(error)
+        return http_response.decoding_error(error)
 
 
-def _decode_patch(encoded: bytes) -> ConfigurationPatch | answer.InputError:
+def _decode_patch(
+    encoded: bytes,
+) -> ConfigurationPatch | http_response.InputError:
     patch = decode(encoded, ConfigurationPatch)
-    if isinstance(patch, answer.InputError):
+    if isinstance(patch, http_response.InputError):
         return patch
     fault = reading.find_fault(patch.changes)
     if fault:
-        return answer.InputError(_CLIENT_ERROR, 'changes', fault)
+        return http_response.InputError(_CLIENT_ERROR, 'changes', fault)
     return patch
 
 
-def _decode_job(encoded: bytes) -> job.Specification | answer.InputError:
+def _decode_job(encoded: bytes) -> job.Specification | http_response.InputError:
     specification = decode(encoded, job.Specification)
-    if isinstance(specification, answer.InputError):
+    if isinstance(specification, http_response.InputError):
         return specification
     fault = workflow.find_fault(specification)
     if fault is not None:
-        return answer.InputError(_CLIENT_ERROR, *fault)
+        return http_response.InputError(_CLIENT_ERROR, *fault)
     return specification
 
 
-def parse_wait(request: requests.Request) -> float | answer.InputError:
+def parse_wait(request: requests.Request) -> float | http_response.InputError:
     """Return the seconds to wait, zero for none, or the error."""
     text = request.query_params.get('wait', '0')
     try:
@@ -318,7 +324,7 @@
         seconds = -1
     if 0 <= seconds <= MAX_WAIT_S:
         return seconds
-    return answer.InputError(
+    return http_response.InputError(
         _CLIENT_ERROR,
         'wait',
         f'{text!r} is not a number of seconds from 0 to {MAX_WAIT_S:.0f}',
--- a/mulberrywalk/entry/caller_test.py
+++ b/mulberrywalk/entry/http_api_test.py
@@ -7,7 +7,7 @@
 from starlette import testclient
 
 from ..telemetry import cost, journal, metric
-from . import answer, caller, connection, session, upstream
+from . import connection, http_api, http_response, session, upstream
 
 JOB = MappingProxyType(
     {
@@ -44,7 +44,7 @@
     lines = journal.Journal(journal.Origin('e', 'd'))
     sessions = session.Sessions(leader)
     targets = connection.Connections(leader, sessions, lines)
-    interface = caller.Interface(leader, targets, lines, metric.NoMetrics())
+    interface = http_api.HttpApi(leader, targets, lines, metric.NoMetrics())
     return testclient.TestClient(interface.application())
 
 
@@ -69,7 +69,7 @@
 
 def test_submit_refuses_a_large_body():
     leader = FakeLeader({'outcome': 'accepted', 'job': 'j1'})
-    body = b' ' * (caller.MAX_BODY_BYTES + 1)
+    body = b' ' * (http_api.MAX_BODY_BYTES + 1)
     answered = client_of(leader).post('/v1/jobs', content=body)
     assert answered.status_code == 413
     assert not leader.asked
@@ -98,7 +98,7 @@
 
 
 def test_unknown_names_the_request():
-    answered = json.loads(answer.respond_unknown('r1').body)
+    answered = json.loads(http_response.respond_unknown('r1').body)
     assert answered['request_id'] == 'r1'
 
 
--- a/mulberrywalk/entry/answer.py
+++ b/mulberrywalk/entry/http_response.py
@@ -51,7 +51,7 @@
     message: str
 
 
-def invalid(error: Exception) -> InputError:
+def decoding_error(error: Exception) -> InputError:
     """Return what is wrong with a body that could not be decoded."""
     message = str(error)
     found = _FIELD.search(message)
@@ -59,7 +59,7 @@
     return InputError(_BAD_REQUEST, field, message)
 
 
-def too_large(limit: int) -> InputError:
+def body_too_large(limit: int) -> InputError:
     """Return the error for a body over the limit in bytes."""
     return InputError(_TOO_LARGE, '', f'the body exceeds {limit} bytes')
 
--- a/mulberrywalk/entry/pacing.py
+++ b/mulberrywalk/entry/pacing.py
@@ -10,7 +10,7 @@
 
 import dataclasses
 
-WHOLE = 100
+FULL_PERCENT = 100
 # Parts of a latency target, in percent, between which a share stays.
 _SLOW_PERCENT = 70
 _FAST_PERCENT = 45
@@ -20,7 +20,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reading:
+class LatencyReading:
     """The tail of a serving task's response times, in milliseconds."""
 
     latency_target_ms: int
@@ -31,32 +31,32 @@
 class Pacer:
     """The share of the fillers on one target, in percent."""
 
-    share: int = WHOLE
-    calm_since: int | None = None
+    share: int = FULL_PERCENT
+    low_pressure_since: int | None = None
 
-    def decide(self, readings: list[Reading], now: int) -> int:
+    def decide(self, readings: list[LatencyReading], now: int) -> int:
         """Return the share of the fillers after a look at the target."""
         pressure = max(
             (
-                one.latency_ms * WHOLE // one.latency_target_ms
+                one.latency_ms * FULL_PERCENT // one.latency_target_ms
                 for one in readings
             ),
             default=0,
         )
         if pressure >= _SLOW_PERCENT:
-            self.calm_since = None
+            self.low_pressure_since = None
             self.share = _lower(self.share, pressure)
         elif pressure > _FAST_PERCENT:
-            self.calm_since = None
-        elif self.calm_since is None:
-            self.calm_since = now
-        elif now - self.calm_since >= _RAISE_AFTER_MS:
-            self.calm_since = now
-            self.share = min(WHOLE, self.share + _RAISE_BY)
+            self.low_pressure_since = None
+        elif self.low_pressure_since is None:
+            self.low_pressure_since = now
+        elif now - self.low_pressure_since >= _RAISE_AFTER_MS:
+            self.low_pressure_since = now
+            self.share = min(FULL_PERCENT, self.share + _RAISE_BY)
         return self.share
 
 
 def _lower(share: int, pressure: int) -> int:
-    if pressure >= WHOLE or share <= _LEAST_STEP:
+    if pressure >= FULL_PERCENT or share <= _LEAST_STEP:
         return 0
     return share // 2
--- a/mulberrywalk/entry/pacing_test.py
+++ b/mulberrywalk/entry/pacing_test.py
@@ -4,7 +4,7 @@
 
 
 def reading(latency_ms):
-    return [pacing.Reading(latency_target_ms=100, latency_ms=latency_ms)]
+    return [pacing.LatencyReading(latency_target_ms=100, latency_ms=latency_ms)]
 
 
 def test_share_falls_to_nothing_above_the_target():
@@ -29,4 +29,4 @@
 
 
 def test_without_serving_tasks_the_share_is_whole():
-    assert pacing.Pacer().decide([], now=0) == pacing.WHOLE
+    assert pacing.Pacer().decide([], now=0) == pacing.FULL_PERCENT
--- a/mulberrywalk/entry/pending.py
+++ b/mulberrywalk/entry/pending.py
@@ -32,7 +32,7 @@
     body: dict[str, Any] | None = None
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
-    def tell(self) -> dict[str, Any] | None:
+    def reply_or_refusal(self) -> dict[str, Any] | None:
         """Return the reply, or a refusal when the call never left here.
 
         A call that was not sent has surely not been taken: its caller may
@@ -62,7 +62,7 @@
         finally:
             self._calls.pop(ticket)
 
-    def messages(self) -> list[wire.Call]:
+    def unanswered(self) -> list[wire.Call]:
         """Return what a new leader has to be asked."""
         return [pending.message for pending in self._calls.values()]
 
@@ -76,7 +76,7 @@
         pending.is_sent = True
         return True
 
-    def answer(self, reply: wire.Reply) -> None:
+    def complete(self, reply: wire.Reply) -> None:
         """Hand a reply to its caller, if that still waits."""
         pending = self._calls.get(reply.ticket)
         if pending is not None:
--- a/mulberrywalk/entry/pending_test.py
+++ b/mulberrywalk/entry/pending_test.py
@@ -16,7 +16,7 @@
 
 def test_a_call_that_never_left_is_refused_with_when_to_return(calls):
     with calls.open(ASKED) as call:
-        told = call.tell()
+        told = call.reply_or_refusal()
     assert told['reason'] == 'not_ready'
     assert told['retry_after_ms'] > 0
 
@@ -24,7 +24,7 @@
 def test_a_call_that_left_may_have_been_taken(calls):
     with calls.open(ASKED) as call:
         assert calls.mark_sent(call.message)
-        assert call.tell() is None
+        assert call.reply_or_refusal() is None
 
 
 def test_a_call_that_was_given_up_is_not_sent_later(calls):
@@ -35,8 +35,8 @@
 
 def test_a_new_leader_is_asked_what_waits(calls):
     with calls.open(ASKED), calls.open(ASKED) as second:
-        calls.answer(wire.Reply(second.message.ticket, {'outcome': 'job'}))
+        calls.complete(wire.Reply(second.message.ticket, {'outcome': 'job'}))
         assert second.done.is_set()
-        assert second.tell() == {'outcome': 'job'}
-        assert len(calls.messages()) == 2
-    assert not calls.messages()
+        assert second.reply_or_refusal() == {'outcome': 'job'}
+        assert len(calls.unanswered()) == 2
+    assert not calls.unanswered()
--- a/mulberrywalk/entry/called.py
+++ b/mulberrywalk/entry/polled.py
@@ -15,7 +15,7 @@
 from ..core import event, identity
 from ..telemetry import clock, journal
 from ..transport import wire
-from . import calling, filler, listing, session, upstream
+from . import filler, reporting, session, target_client, upstream
 
 _MS_PER_S = 1000
 # A start is sent only with so much of the lease left.
@@ -36,51 +36,51 @@
 # Answers after which the attempt is barred and then known not to run.
 _REFUSALS = frozenset(
     (
-        calling.Answer.NO_ROOM,
-        calling.Answer.NO_TICKET,
-        calling.Answer.UNWELL,
-        calling.Answer.INVALID,
+        target_client.CallResult.NO_CAPACITY,
+        target_client.CallResult.NO_TICKET,
+        target_client.CallResult.UNHEALTHY,
+        target_client.CallResult.INVALID,
     )
 )
 
 
-class CalledTarget(session.TargetSession):
+class PolledSession(session.TargetSession):
     """The session of one target that this entry calls."""
 
     def __init__(
         self,
         assigned: wire.Assignment,
-        caller: calling.TargetCaller,
+        caller: target_client.TargetClient,
         leader: upstream.Upstream,
         sessions: session.Sessions,
         lines: journal.Journal,
     ) -> None:
         """Prepare; run makes the looks."""
         self.assigned = assigned
-        self._destination = calling.Destination(
+        self._destination = target_client.Destination(
             assigned.target, assigned.address
         )
         self._caller = caller
         self._leader = leader
         self._sessions = sessions
         self._journal = lines
-        self._lease = calling.Lease(assigned.lease_ms)
+        self._lease = target_client.Lease(assigned.lease_ms)
         self._term = assigned.term
         self._ready = anyio.Event()
         self._settled = anyio.Event()
         self._limit = anyio.CapacityLimiter(_CALLS_AT_ONCE)
         self._group: TaskGroup | None = None
-        self._fillers = filler.Fillers(assigned.shares)
-        self._listing = listing.Listing(assigned.session)
+        self._fillers = filler.FillerPacer(assigned.shares)
+        self._listing = reporting.ReportBuilder(assigned.session)
         # Orders that came with the assignment, before the session runs.
         self._early: list[wire.Commands] = []
         self._is_over = False
 
-    def is_called(self) -> bool:
+    def is_polled(self) -> bool:
         """Return that this entry calls the target."""
         return True
 
-    def go_on(self, assigned: wire.Assignment) -> None:
+    def update_assignment(self, assigned: wire.Assignment) -> None:
         """Call the target for a later leader.
 
         What was reported to the earlier one may not have been committed, so
@@ -88,8 +88,8 @@
         """
         self.assigned = assigned
         self._term = assigned.term
-        self._fillers = filler.Fillers(assigned.shares)
-        self._listing.report_again()
+        self._fillers = filler.FillerPacer(assigned.shares)
+        self._listing.reset_reports()
 
     async def run(self) -> None:
         """Look at the target until the session is over."""
@@ -118,7 +118,7 @@
         for stop in commands.stop:
             self._group.start_soon(self._stop, stop.attempt, commands.term)
         self._listing.ends.acknowledge(commands.acknowledge)
-        if commands.acknowledge and self._listing.ends.is_settled():
+        if commands.acknowledge and self._listing.ends.is_acknowledged():
             self._settled.set()
 
     def renew(self, sequence: int) -> None:
@@ -135,7 +135,7 @@
         if self._group is not None:
             self._group.cancel_scope.cancel()
 
-    def move_away(self) -> None:
+    def relocate(self) -> None:
         """Go on until the leader has given the target to another entry."""
 
     async def _look_on(self) -> None:
@@ -144,7 +144,7 @@
             is_seen = await self._look(wait_ms)
             if not is_seen:
                 await anyio.sleep(_UNANSWERED_S)
-            elif not self._listing.ends.is_settled():
+            elif not self._listing.ends.is_acknowledged():
                 await self._settle()
             wait_ms = self._next_wait()
 
@@ -153,7 +153,7 @@
             return 0
         if self._fillers.is_idle():
             return _IDLE_LOOK_MS
-        return _PACED_LOOK_MS if self._fillers.is_shared() else _LOOK_MS
+        return _PACED_LOOK_MS if self._fillers.has_filler() else _LOOK_MS
 
     async def _settle(self) -> None:
         """Wait until the ends that were seen are committed, or for long."""
@@ -163,18 +163,18 @@
         await anyio.sleep(_GATHER_S)
 
     async def _look(self, wait_ms: int) -> bool:
-        barred = self._listing.barred()
+        barred = self._listing.snapshot_barred()
         sent_at = clock.monotonic_ms()
-        glance = calling.Glance(
+        glance = target_client.PollRequest(
             self._term,
-            self._lease.until(),
+            self._lease.expires_at(),
             self._listing.ends.acknowledged,
             wait_ms,
         )
-        seen = await self._caller.look(self._destination, glance)
-        if isinstance(seen, calling.Answer):
+        seen = await self._caller.poll(self._destination, glance)
+        if isinstance(seen, target_client.CallResult):
             self._note(f'look: {seen.value}')
-            if seen is calling.Answer.FENCED:
+            if seen is target_client.CallResult.FENCED:
                 # The entry that a later leader has chosen calls the target.
                 self.end()
             return False
@@ -185,18 +185,18 @@
                 target=self._destination.target,
             )
             return False
-        self._lease.learn(seen.clock_ms, clock.monotonic_ms())
-        self._sessions.ask_renewal(self.assigned.session, sent_at)
+        self._lease.sample_clock(seen.clock_ms, clock.monotonic_ms())
+        self._sessions.request_renewal(self.assigned.session, sent_at)
         self._report(seen, barred)
         self._pace(seen)
         return True
 
     def _report(
         self,
-        seen: calling.Seen,
-        barred: dict[identity.AttemptId, calling.Answer],
+        seen: target_client.PollResult,
+        barred: dict[identity.AttemptId, target_client.CallResult],
     ) -> None:
-        report = self._listing.report(seen, barred, clock.monotonic_ms())
+        report = self._listing.build(seen, barred, clock.monotonic_ms())
         for listed in seen.ended:
             self._fillers.forget(listed.attempt)
         if report is None:
@@ -208,10 +208,10 @@
     async def _start(self, command: wire.StartCommand, term: int) -> None:
         with anyio.move_on_after(_READY_S):
             await self._ready.wait()
-        answer = calling.Answer.NONE
+        answer = target_client.CallResult.NO_REPLY
         for _ in range(_TRIES):
-            until = self._lease.until()
-            left_ms = self._lease.left_ms(clock.monotonic_ms())
+            until = self._lease.expires_at()
+            left_ms = self._lease.remaining_ms(clock.monotonic_ms())
             if until is None or left_ms < _LEAST_LEASE_MS:
                 # The leader sends the start again.
                 self._note('start held: no lease', command.attempt)
@@ -221,16 +221,19 @@
                     self._destination, command, until, term
                 )
             self._note(f'start: {answer.value}', command.attempt)
-            if answer is not calling.Answer.NONE:
+            if answer is not target_client.CallResult.NO_REPLY:
                 break
         await self._take_answer(command, answer, term)
 
     async def _take_answer(
-        self, command: wire.StartCommand, answer: calling.Answer, term: int
+        self,
+        command: wire.StartCommand,
+        answer: target_client.CallResult,
+        term: int,
     ) -> None:
-        if answer is calling.Answer.DONE:
+        if answer is target_client.CallResult.DONE:
             self._confirm(command.attempt)
-        elif answer is calling.Answer.BARRED:
+        elif answer is target_client.CallResult.BARRED:
             self._note_barred(command.attempt, answer)
         elif answer in _REFUSALS:
             await self._refuse(command.attempt, answer, term)
@@ -243,32 +246,41 @@
         )
 
     async def _refuse(
-        self, attempt: identity.AttemptId, answer: calling.Answer, term: int
+        self,
+        attempt: identity.AttemptId,
+        answer: target_client.CallResult,
+        term: int,
     ) -> None:
         """Bar a refused attempt: a copy of its start may still arrive."""
         async with self._limit:
             stopped = await self._caller.stop(self._destination, attempt, term)
-        if stopped in {calling.Answer.DONE, calling.Answer.BARRED}:
+        if stopped in {
+            target_client.CallResult.DONE,
+            target_client.CallResult.BARRED,
+        }:
             self._note_barred(attempt, answer)
 
     async def _stop(self, attempt: identity.AttemptId, term: int) -> None:
-        answer = calling.Answer.NONE
+        answer = target_client.CallResult.NO_REPLY
         for _ in range(_TRIES):
             async with self._limit:
                 answer = await self._caller.stop(
                     self._destination, attempt, term
                 )
             self._note(f'stop: {answer.value}', attempt)
-            if answer is not calling.Answer.NONE:
+            if answer is not target_client.CallResult.NO_REPLY:
                 break
-        if answer in {calling.Answer.DONE, calling.Answer.BARRED}:
+        if answer in {
+            target_client.CallResult.DONE,
+            target_client.CallResult.BARRED,
+        }:
             self._note_barred(attempt, answer)
 
     def _note_barred(
-        self, attempt: identity.AttemptId, answer: calling.Answer
+        self, attempt: identity.AttemptId, answer: target_client.CallResult
     ) -> None:
         """Let a look tell whether the attempt is there after all."""
-        is_first = self._listing.note_barred(attempt, answer)
+        is_first = self._listing.add_barred(attempt, answer)
         if is_first and self._group is not None:
             self._group.start_soon(self._look_soon)
 
@@ -276,7 +288,7 @@
         await anyio.sleep(_GATHER_S)
         await self._look(0)
 
-    def _pace(self, seen: calling.Seen) -> None:
+    def _pace(self, seen: target_client.PollResult) -> None:
         told = self._fillers.decide(seen.running, clock.monotonic_ms())
         for attempt, percent in told:
             if self._group is not None:
@@ -289,8 +301,8 @@
             answer = await self._caller.pace(
                 self._destination, attempt, percent, self._term
             )
-        if answer is not calling.Answer.DONE:
-            self._fillers.mistrust(attempt)
+        if answer is not target_client.CallResult.DONE:
+            self._fillers.forget_pace(attempt)
 
     def _note(self, what: str, attempt: str = '') -> None:
         self._journal.record(
@@ -301,12 +313,12 @@
         )
 
 
-class CalledTargets:
+class PolledTargets:
     """The targets that the leader has assigned to this entry."""
 
     def __init__(
         self,
-        caller: calling.TargetCaller,
+        caller: target_client.TargetClient,
         leader: upstream.Upstream,
         sessions: session.Sessions,
         lines: journal.Journal,
@@ -317,7 +329,7 @@
         self._sessions = sessions
         self._journal = lines
         self._group: TaskGroup | None = None
-        leader.assign = self.take
+        leader.on_assignment = self.assign
 
     async def run(self) -> None:
         """Keep the sessions going for ever."""
@@ -325,15 +337,15 @@
             self._group = group
             await anyio.sleep_forever()
 
-    def take(self, assigned: wire.Assignment) -> None:
+    def assign(self, assigned: wire.Assignment) -> None:
         """Call the target of a session from now on, or go on with it."""
         if self._group is None:
             return
         present = self._sessions.open.get(assigned.session)
-        if isinstance(present, CalledTarget):
-            present.go_on(assigned)
+        if isinstance(present, PolledSession):
+            present.update_assignment(assigned)
             return
-        called = CalledTarget(
+        called = PolledSession(
             assigned,
             self._caller,
             self._leader,
@@ -343,7 +355,7 @@
         self._sessions.add(assigned.session, called)
         self._group.start_soon(self._carry, called)
 
-    async def _carry(self, carried: CalledTarget) -> None:
+    async def _carry(self, carried: PolledSession) -> None:
         """Run a session; one that fails ends by itself.
 
         The leader gives its target to another entry once it is unanswered.
--- a/mulberrywalk/entry/called_test.py
+++ b/mulberrywalk/entry/polled_test.py
@@ -7,7 +7,7 @@
 from ..core import event, identity, job
 from ..telemetry import clock, cost, journal
 from ..transport import wire
-from . import called, calling, session, upstream
+from . import polled, session, target_client, upstream
 
 TARGET = identity.TargetId('t1')
 SESSION = identity.SessionId('s1')
@@ -36,7 +36,7 @@
         ]
 
 
-class FakeTarget(calling.TargetCaller):
+class FakeTarget(target_client.TargetClient):
     """Answers looks from lists, and orders by what it was told to say."""
 
     def __init__(self):
@@ -46,14 +46,14 @@
         self.starts = []
         self.stops = []
         self.paces = []
-        self.answer = calling.Answer.DONE
+        self.answer = target_client.CallResult.DONE
         self.born_at = BORN
 
-    async def look(self, destination, glance):
+    async def poll(self, destination, glance):
         await anyio.sleep(0.002)
         self.glances.append(glance)
         ended = [one for one in self.ended if one.number > glance.acknowledged]
-        return calling.Seen(
+        return target_client.PollResult(
             clock.monotonic_ms(),
             self.born_at,
             tuple(self.running),
@@ -66,14 +66,14 @@
 
     async def stop(self, destination, attempt, term):
         self.stops.append(attempt)
-        return calling.Answer.DONE
+        return target_client.CallResult.DONE
 
     async def pace(self, destination, attempt, percent, term):
         self.paces.append((attempt, percent))
-        return calling.Answer.DONE
+        return target_client.CallResult.DONE
 
 
-class HalfOdd(FakeTarget):
+class PartlyFailingTarget(FakeTarget):
     """Passes looks on, but for those at one target, which raise."""
 
     def __init__(self, good, fault):
@@ -81,10 +81,10 @@
         self.good = good
         self.fault = fault
 
-    async def look(self, destination, glance):
+    async def poll(self, destination, glance):
         if destination.target == 'odd':
             raise self.fault
-        return await self.good.look(destination, glance)
+        return await self.good.poll(destination, glance)
 
 
 def only(found):
@@ -124,7 +124,7 @@
     lines = journal.Journal(journal.Origin('e', 'd'))
 
     async def run():
-        carried = called.CalledTarget(
+        carried = polled.PolledSession(
             assignment(**more), target, leader, sessions, lines
         )
         sessions.add(SESSION, carried)
@@ -142,8 +142,8 @@
 def test_ends_below_the_lowest_listed_one_count_as_acknowledged():
     target = FakeTarget()
     target.ended = [
-        calling.Ended(57, FIRST, job.EndReason.COMPLETED, ''),
-        calling.Ended(58, SECOND, job.EndReason.COMPLETED, ''),
+        target_client.EndedAttempt(57, FIRST, job.EndReason.COMPLETED, ''),
+        target_client.EndedAttempt(58, SECOND, job.EndReason.COMPLETED, ''),
     ]
 
     async def scenario(carried, leader):
@@ -160,8 +160,8 @@
 def test_end_is_not_acknowledged_before_those_that_came_earlier():
     target = FakeTarget()
     target.ended = [
-        calling.Ended(1, FIRST, job.EndReason.COMPLETED, ''),
-        calling.Ended(2, SECOND, job.EndReason.COMPLETED, ''),
+        target_client.EndedAttempt(1, FIRST, job.EndReason.COMPLETED, ''),
+        target_client.EndedAttempt(2, SECOND, job.EndReason.COMPLETED, ''),
     ]
 
     async def scenario(carried, leader):
@@ -178,10 +178,10 @@
 
     async def refuse(destination, glance):
         looks.append(glance)
-        return calling.Answer.FENCED
+        return target_client.CallResult.FENCED
 
     async def scenario(carried, leader):
-        target.look = refuse
+        target.poll = refuse
         await anyio.sleep(1.5)
 
     play(target, scenario)
@@ -212,7 +212,7 @@
     lines = journal.Journal(journal.Origin('e', 'd'))
 
     async def run():
-        carried = called.CalledTarget(
+        carried = polled.PolledSession(
             assignment(), target, leader, sessions, lines
         )
         async with anyio.create_task_group() as group:
@@ -234,9 +234,9 @@
 @pytest.mark.parametrize(
     ('answer', 'reason'),
     [
-        (calling.Answer.NO_ROOM, job.EndReason.NEVER_STARTED),
-        (calling.Answer.NO_TICKET, job.EndReason.NEVER_STARTED),
-        (calling.Answer.UNWELL, job.EndReason.REFUSED),
+        (target_client.CallResult.NO_CAPACITY, job.EndReason.NEVER_STARTED),
+        (target_client.CallResult.NO_TICKET, job.EndReason.NEVER_STARTED),
+        (target_client.CallResult.UNHEALTHY, job.EndReason.REFUSED),
     ],
 )
 def test_refused_start_is_barred_before_it_counts_as_not_started(
@@ -261,7 +261,7 @@
 
 def test_stopped_attempt_that_still_runs_is_not_reported_as_ended():
     target = FakeTarget()
-    target.running = [calling.Running(FIRST, '', 0)]
+    target.running = [target_client.RunningAttempt(FIRST, '', 0)]
 
     async def scenario(carried, leader):
         carried.command(
@@ -280,7 +280,7 @@
 
 def test_start_without_an_answer_is_given_again_at_once():
     target = FakeTarget()
-    target.answer = calling.Answer.NONE
+    target.answer = target_client.CallResult.NO_REPLY
 
     async def scenario(carried, leader):
         carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
@@ -292,13 +292,13 @@
 
 def test_unanswered_start_is_found_by_a_look():
     target = FakeTarget()
-    target.answer = calling.Answer.NONE
+    target.answer = target_client.CallResult.NO_REPLY
 
     async def scenario(carried, leader):
         carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
         await anyio.sleep(0.02)
         assert not leader.reports('started')
-        target.running = [calling.Running(FIRST, '', 0)]
+        target.running = [target_client.RunningAttempt(FIRST, '', 0)]
         await anyio.sleep(0.1)
 
     leader = play(target, scenario)
@@ -308,7 +308,9 @@
 def test_look_at_another_life_tells_nothing():
     target = FakeTarget()
     target.born_at = BORN + 1
-    target.ended = [calling.Ended(1, FIRST, job.EndReason.FAILED, '')]
+    target.ended = [
+        target_client.EndedAttempt(1, FIRST, job.EndReason.FAILED, '')
+    ]
 
     async def scenario(carried, leader):
         await anyio.sleep(0.05)
@@ -331,8 +333,8 @@
 def test_filler_is_slowed_beside_a_task_over_its_latency_target():
     target = FakeTarget()
     target.running = [
-        calling.Running(FIRST, '', 250),
-        calling.Running(SECOND, '', 900),
+        target_client.RunningAttempt(FIRST, '', 250),
+        target_client.RunningAttempt(SECOND, '', 900),
     ]
 
     async def scenario(carried, leader):
@@ -351,8 +353,10 @@
 
 def test_filler_of_an_earlier_entry_is_told_its_share_until_it_answers():
     target = FakeTarget()
-    target.running = [calling.Running(FIRST, '', 0)]
-    answers = iter((calling.Answer.NONE, calling.Answer.DONE))
+    target.running = [target_client.RunningAttempt(FIRST, '', 0)]
+    answers = iter(
+        (target_client.CallResult.NO_REPLY, target_client.CallResult.DONE)
+    )
 
     async def pace(destination, attempt, percent, term):
         target.paces.append((attempt, percent))
@@ -368,13 +372,15 @@
 
 def test_what_a_lost_leader_may_not_have_kept_is_told_to_the_next():
     target = FakeTarget()
-    target.running = [calling.Running(FIRST, 'saved', 0)]
-    target.ended = [calling.Ended(1, SECOND, job.EndReason.COMPLETED, '')]
+    target.running = [target_client.RunningAttempt(FIRST, 'saved', 0)]
+    target.ended = [
+        target_client.EndedAttempt(1, SECOND, job.EndReason.COMPLETED, '')
+    ]
 
     async def scenario(carried, leader):
         await anyio.sleep(0.05)
         told = len(leader.reports('started'))
-        carried.go_on(assignment(term=8))
+        carried.update_assignment(assignment(term=8))
         carried.command(wire.Commands(SESSION, term=7, start=(command(FIRST),)))
         await anyio.sleep(1.1)
         assert len(leader.reports('started')) == told + 1
@@ -388,20 +394,20 @@
 
 def test_an_entry_tells_which_targets_it_calls():
     async def scenario(carried, leader):
-        assert leader.hooks.carried() == (SESSION,)
+        assert leader.target_handlers.list_polled() == (SESSION,)
         carried.end()
-        assert not leader.hooks.carried()
+        assert not leader.target_handlers.list_polled()
 
     play(FakeTarget(), scenario)
 
 
 def test_checkpoints_are_reported_when_they_change():
     target = FakeTarget()
-    target.running = [calling.Running(FIRST, 'a', 0)]
+    target.running = [target_client.RunningAttempt(FIRST, 'a', 0)]
 
     async def scenario(carried, leader):
         await anyio.sleep(0.05)
-        target.running = [calling.Running(FIRST, 'b', 0)]
+        target.running = [target_client.RunningAttempt(FIRST, 'b', 0)]
         await anyio.sleep(0.05)
 
     leader = play(target, scenario)
@@ -418,7 +424,7 @@
     lines = journal.Journal(journal.Origin('e', 'd'))
 
     async def run():
-        targets = called.CalledTargets(target, leader, sessions, lines)
+        targets = polled.PolledTargets(target, leader, sessions, lines)
         async with anyio.create_task_group() as group:
             group.start_soon(targets.run)
             await anyio.sleep(0.01)
@@ -434,9 +440,9 @@
     good = FakeTarget()
 
     async def scenario(targets, leader, sessions):
-        targets.take(assignment())
+        targets.assign(assignment())
         odd = {'session': identity.SessionId('s2'), 'target': 'odd'}
-        targets.take(msgspec.structs.replace(assignment(), **odd))
+        targets.assign(msgspec.structs.replace(assignment(), **odd))
         await anyio.sleep(0.05)
         looks = len(good.glances)
         sessions.open[SESSION].renew(clock.monotonic_ms())
@@ -444,7 +450,7 @@
         assert len(good.glances) > looks
         assert set(sessions.open) == {SESSION}
 
-    lines = play_targets(HalfOdd(good, fault), scenario)
+    lines = play_targets(PartlyFailingTarget(good, fault), scenario)
     assert lines.find(journal.Filter(target='odd'))
 
 
@@ -457,8 +463,8 @@
         raise ValueError
 
     async def run():
-        target.look = fail
-        carried = called.CalledTarget(
+        target.poll = fail
+        carried = polled.PolledSession(
             assignment(), target, leader, session.Sessions(leader), lines
         )
         with pytest.raises(ExceptionGroup):
@@ -474,9 +480,11 @@
 
     async def scenario(targets, leader, sessions):
         # The leader sends both at once: they arrive in one batch.
-        targets.take(assignment())
+        targets.assign(assignment())
         stop = wire.StopCommand(FIRST, is_checkpointed=False)
-        leader.hooks.command(wire.Commands(SESSION, stop=(stop,), term=7))
+        leader.target_handlers.command(
+            wire.Commands(SESSION, stop=(stop,), term=7)
+        )
         await anyio.sleep(0.1)
 
     play_targets(target, scenario)
@@ -487,8 +495,8 @@
     target = FakeTarget()
 
     async def scenario(targets, leader, sessions):
-        targets.take(assignment())
-        leader.hooks.end(wire.Gone((SESSION,)))
+        targets.assign(assignment())
+        leader.target_handlers.end(wire.Gone((SESSION,)))
         await anyio.sleep(0.1)
 
     play_targets(target, scenario)
--- a/mulberrywalk/entry/program.py
+++ b/mulberrywalk/entry/program.py
@@ -14,7 +14,7 @@
 from hypercorn import config as hypercorn_config
 
 from ..telemetry import cost, journal, metric, setting
-from . import caller, connection, protocol, session, upstream
+from . import connection, http_api, protocol, session, upstream
 
 _EXIT_ADDRESS = 3
 _POLL_S = 0.05
@@ -43,8 +43,8 @@
     log_format: str
     notice_ms: int
     drain_limit_ms: int
-    current_ms: int = upstream.CURRENT_MS
-    idle_s: int = _IDLE_S
+    configuration_max_age_ms: int = upstream.CONFIGURATION_MAX_AGE_MS
+    keep_alive_s: int = _IDLE_S
 
 
 @application.command()
@@ -95,14 +95,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
+class Components:
     """What an extension of the entry is composed with."""
 
     settings: Settings
     leader: upstream.Upstream
     sessions: session.Sessions
-    interface: caller.Interface
-    lines: journal.Journal
+    api: http_api.HttpApi
+    event_log: journal.Journal
     metrics: metric.Exposition
 
 
@@ -111,7 +111,7 @@
 
     @abc.abstractmethod
     def extend(
-        self, parts: Parts, application: Application
+        self, components: Components, application: Application
     ) -> tuple[Application, tuple[str, ...]]:
         """Return the application to serve, and the addresses to serve it on.
 
@@ -127,10 +127,10 @@
     """The entry as it is."""
 
     def extend(
-        self, parts: Parts, application: Application
+        self, components: Components, application: Application
     ) -> tuple[Application, tuple[str, ...]]:
         """Return the entry's own application and address."""
-        return application, (parts.settings.listen,)
+        return application, (components.settings.listen,)
 
     async def run(self) -> None:
         """Do nothing."""
@@ -138,39 +138,41 @@
 
 async def serve(settings: Settings, extension: Extension | None = None) -> None:
     """Compose the entry and run it until a signal."""
-    lines = journal.Journal(journal.Origin(settings.name, settings.data_centre))
+    event_log = journal.Journal(
+        journal.Origin(settings.name, settings.data_centre)
+    )
     metrics = metric.Exposition(
         metric.connect(settings.statsd, f'mulberrywalk.{settings.name}')
     )
     stop = anyio.Event()
     leader = upstream.Upstream(
         settings.replicas,
-        lines,
+        event_log,
         cost.Meter(),
-        current_ms=settings.current_ms,
+        configuration_max_age_ms=settings.configuration_max_age_ms,
     )
     sessions = session.Sessions(leader)
-    targets = connection.Connections(leader, sessions, lines)
-    interface = caller.Interface(leader, targets, lines, metrics)
+    targets = connection.Connections(leader, sessions, event_log)
+    api = http_api.HttpApi(leader, targets, event_log, metrics)
     extended = extension or NoExtension()
-    parts = Parts(settings, leader, sessions, interface, lines, metrics)
-    application, config = _extend(extended, parts)
+    components = Components(settings, leader, sessions, api, event_log, metrics)
+    application, config = _extend(extended, components)
     async with anyio.create_task_group() as group:
         group.start_soon(leader.run)
-        group.start_soon(sessions.pass_on_renewals)
+        group.start_soon(sessions.send_renewals)
         group.start_soon(extended.run)
-        group.start_soon(_drain_on_signal, settings, interface, targets, stop)
+        group.start_soon(_drain_on_signal, settings, api, targets, stop)
         group.start_soon(_serve_http, application, config, stop, group)
-        lines.record('entry running', settings.listen)
+        event_log.record('entry running', settings.listen)
 
 
 def _extend(
-    extension: Extension, parts: Parts
+    extension: Extension, components: Components
 ) -> tuple[Application, hypercorn_config.Config]:
     application, addresses = extension.extend(
-        parts, parts.interface.application()
+        components, components.api.application()
     )
-    return application, _server_config(parts.settings, addresses)
+    return application, _server_config(components.settings, addresses)
 
 
 async def _serve_http(
@@ -190,7 +192,7 @@
 ) -> hypercorn_config.Config:
     config = hypercorn_config.Config()
     config.bind = list(addresses)
-    config.keep_alive_timeout = settings.idle_s
+    config.keep_alive_timeout = settings.keep_alive_s
     config.accesslog = None
     config.errorlog = None
     config.graceful_timeout = 1.0
@@ -201,37 +203,37 @@
 
 async def _drain_on_signal(
     settings: Settings,
-    interface: caller.Interface,
+    api: http_api.HttpApi,
     targets: connection.Connections,
     stop: anyio.Event,
 ) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
             async for _ in signals:
-                if interface.duty.is_draining:
+                if api.serving_state.is_draining:
                     stop.set()
                     return
-                interface.duty.is_draining = True
+                api.serving_state.is_draining = True
                 group.start_soon(
-                    _drain, settings, interface.duty, targets, stop
+                    _drain, settings, api.serving_state, targets, stop
                 )
 
 
 async def _drain(
     settings: Settings,
-    duty: caller.Duty,
+    serving_state: http_api.ServingState,
     targets: connection.Connections,
     stop: anyio.Event,
 ) -> None:
     """Wait for the balancer to look away, then for requests to end."""
-    targets.stop_taking()
+    targets.announce_stopping()
     await anyio.sleep(settings.notice_ms / _MS_PER_S)
-    targets.move_away()
+    targets.relocate()
     with anyio.move_on_after(settings.drain_limit_ms / _MS_PER_S):
         quiet = 0
         while quiet < _QUIET_POLLS:
             await anyio.sleep(_POLL_S)
-            is_quiet = not (duty.in_progress or targets.count())
+            is_quiet = not (serving_state.in_progress or targets.count())
             quiet = quiet + 1 if is_quiet else 0
     stop.set()
 
--- a/mulberrywalk/entry/protocol.py
+++ b/mulberrywalk/entry/protocol.py
@@ -13,14 +13,14 @@
 from ..transport import wire
 
 VERSION = 1
-MAX_ANSWER = 65_536
+MAX_TEXT_LENGTH = 65_536
 MAX_MESSAGE_BYTES = 8_388_608
 MAX_AMOUNT = 9_007_199_254_740_992
-MAX_STAMP = 4_611_686_018_427_387_904
+MAX_TIMESTAMP = 4_611_686_018_427_387_904
 _TAG_FIELD = 'type'
 
 Amount = Annotated[int, msgspec.Meta(ge=0, le=MAX_AMOUNT)]
-Stamp = Annotated[int, msgspec.Meta(ge=0, le=MAX_STAMP)]
+Timestamp = Annotated[int, msgspec.Meta(ge=0, le=MAX_TIMESTAMP)]
 
 
 class Capacity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -59,7 +59,7 @@
     nonce: job.Name
     resume: str | None = None
     ended: str | None = None
-    clock: Stamp = 0
+    clock: Timestamp = 0
 
 
 class Renew(
@@ -71,15 +71,15 @@
 ):
     """Asks to extend the lease; also the target's heartbeat."""
 
-    sequence: Stamp
-    clock: Stamp = 0
+    sequence: Timestamp
+    clock: Timestamp = 0
 
 
 class Started(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """An attempt that the target has started."""
 
     attempt: str
-    clock: Stamp = 0
+    clock: Timestamp = 0
 
 
 class Ended(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -87,10 +87,10 @@
 
     attempt: str
     reason: Literal['completed', 'failed', 'stopped', 'never_started']
-    answer: Annotated[str, msgspec.Meta(max_length=MAX_ANSWER)] = ''
-    detail: Annotated[str, msgspec.Meta(max_length=MAX_ANSWER)] = ''
-    checkpoint: Annotated[str, msgspec.Meta(max_length=MAX_ANSWER)] = ''
-    clock: Stamp = 0
+    answer: Annotated[str, msgspec.Meta(max_length=MAX_TEXT_LENGTH)] = ''
+    detail: Annotated[str, msgspec.Meta(max_length=MAX_TEXT_LENGTH)] = ''
+    checkpoint: Annotated[str, msgspec.Meta(max_length=MAX_TEXT_LENGTH)] = ''
+    clock: Timestamp = 0
 
 
 class Usage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -113,7 +113,7 @@
     started: tuple[Started, ...] = ()
     ended: tuple[Ended, ...] = ()
     usage: tuple[Usage, ...] = ()
-    clock: Stamp = 0
+    clock: Timestamp = 0
 
 
 class Leave(
@@ -125,7 +125,7 @@
 ):
     """The target is leaving: it takes no new work."""
 
-    clock: Stamp = 0
+    clock: Timestamp = 0
 
 
 FromTarget: TypeAlias = Hello | Renew | Report | Leave
--- a/mulberrywalk/entry/listing.py
+++ b/mulberrywalk/entry/reporting.py
@@ -4,10 +4,10 @@
 
 from ..core import event, identity, job
 from ..transport import wire
-from . import calling, ending
+from . import acknowledgement, target_client
 
 
-class Listing:
+class ReportBuilder:
     """Turns the looks at one life of a target into reports.
 
     ends are the ends that were listed, with what the target may forget.
@@ -15,26 +15,26 @@
 
     def __init__(self, session: identity.SessionId) -> None:
         """Start without a look."""
-        self.ends = ending.Ledger()
+        self.ends = acknowledgement.EndTracker()
         self._session = session
         self._confirmed: set[identity.AttemptId] = set()
         self._checkpoints: dict[identity.AttemptId, str] = {}
         # Orders that were answered as barred: reported unless a later look
         # shows the attempt.
-        self._barred: dict[identity.AttemptId, calling.Answer] = {}
+        self._barred: dict[identity.AttemptId, target_client.CallResult] = {}
 
-    def report_again(self) -> None:
+    def reset_reports(self) -> None:
         """Let all that the next look shows be reported, to another leader."""
         self._confirmed.clear()
         self._checkpoints.clear()
-        self.ends.report_again()
+        self.ends.reset_reports()
 
     def confirm(self, attempt: identity.AttemptId) -> None:
         """Take note of a start whose confirmation is reported elsewhere."""
         self._confirmed.add(attempt)
 
-    def note_barred(
-        self, attempt: identity.AttemptId, answer: calling.Answer
+    def add_barred(
+        self, attempt: identity.AttemptId, answer: target_client.CallResult
     ) -> bool:
         """Let a later look tell whether a barred attempt is there after all.
 
@@ -44,14 +44,16 @@
         self._barred[attempt] = answer
         return is_first
 
-    def barred(self) -> dict[identity.AttemptId, calling.Answer]:
+    def snapshot_barred(
+        self,
+    ) -> dict[identity.AttemptId, target_client.CallResult]:
         """Return what was barred by now, to be judged by a look from now."""
         return dict(self._barred)
 
-    def report(
+    def build(
         self,
-        seen: calling.Seen,
-        barred: dict[identity.AttemptId, calling.Answer],
+        seen: target_client.PollResult,
+        barred: dict[identity.AttemptId, target_client.CallResult],
         now: int,
     ) -> wire.Report | None:
         """Return what is new in a look, or None.
@@ -60,7 +62,7 @@
         milliseconds.
         """
         if seen.ended:
-            self.ends.begin_listing(min(one.number for one in seen.ended))
+            self.ends.skip_below(min(one.number for one in seen.ended))
         report = wire.Report(
             self._session,
             tuple(
@@ -75,27 +77,29 @@
         is_new = report.started or report.ended or report.saved
         return report if is_new else None
 
-    def _find_started(self, seen: calling.Seen) -> list[identity.AttemptId]:
+    def _find_started(
+        self, seen: target_client.PollResult
+    ) -> list[identity.AttemptId]:
         names = [one.attempt for one in seen.running]
         started = [one for one in names if one not in self._confirmed]
         self._confirmed = set(names)
         return started
 
     def _find_ended(
-        self, seen: calling.Seen, now: int
+        self, seen: target_client.PollResult, now: int
     ) -> list[event.AttemptEnd]:
         return [
             event.AttemptEnd(
                 one.attempt, one.reason, now, checkpoint=one.checkpoint
             )
             for one in seen.ended
-            if self.ends.list_end(one.attempt, one.number, now)
+            if self.ends.track(one.attempt, one.number, now)
         ]
 
     def _find_barred(
         self,
-        seen: calling.Seen,
-        barred: dict[identity.AttemptId, calling.Answer],
+        seen: target_client.PollResult,
+        barred: dict[identity.AttemptId, target_client.CallResult],
         now: int,
     ) -> list[event.AttemptEnd]:
         """Return the ends of what was barred and is nowhere to be seen."""
@@ -115,7 +119,7 @@
         ]
 
     def _find_saved(
-        self, seen: calling.Seen
+        self, seen: target_client.PollResult
     ) -> tuple[event.AttemptCheckpoint, ...]:
         fresh = tuple(
             event.AttemptCheckpoint(one.attempt, one.checkpoint)
@@ -129,7 +133,7 @@
         return fresh
 
 
-def _reason_of(answer: calling.Answer) -> job.EndReason:
-    if answer is calling.Answer.UNWELL:
+def _reason_of(answer: target_client.CallResult) -> job.EndReason:
+    if answer is target_client.CallResult.UNHEALTHY:
         return job.EndReason.REFUSED
     return job.EndReason.NEVER_STARTED
--- a/mulberrywalk/entry/session.py
+++ b/mulberrywalk/entry/session.py
@@ -17,7 +17,7 @@
     """One target's session at this entry."""
 
     @abc.abstractmethod
-    def is_called(self) -> bool:
+    def is_polled(self) -> bool:
         """Return whether this entry calls the target, by the leader's word."""
 
     @abc.abstractmethod
@@ -36,7 +36,7 @@
         """Take note that the session is over, or carried elsewhere."""
 
     @abc.abstractmethod
-    def move_away(self) -> None:
+    def relocate(self) -> None:
         """Let go of the target, for this entry is stopping."""
 
 
@@ -48,7 +48,7 @@
         self.open: dict[identity.SessionId, TargetSession] = {}
         self._leader = leader
         self._renewals: dict[identity.SessionId, int] = {}
-        leader.hooks = upstream.Hooks(
+        leader.target_handlers = upstream.TargetHandlers(
             self._list_called, self._command, self._renew, self._end
         )
 
@@ -66,11 +66,11 @@
         self.open.pop(name)
         return True
 
-    def ask_renewal(self, name: identity.SessionId, sequence: int) -> None:
+    def request_renewal(self, name: identity.SessionId, sequence: int) -> None:
         """Let the leader be asked to renew a lease, with others at once."""
         self._renewals[name] = sequence
 
-    async def pass_on_renewals(self) -> None:
+    async def send_renewals(self) -> None:
         """Send the renewals of all targets in one message, for ever."""
         while True:
             await anyio.sleep(_RENEWALS_S)
@@ -83,14 +83,14 @@
         """Return how many targets this entry carries."""
         return len(self.open)
 
-    def move_away(self) -> None:
+    def relocate(self) -> None:
         """Let go of all targets."""
         for carried in list(self.open.values()):
-            carried.move_away()
+            carried.relocate()
 
     def _list_called(self) -> tuple[identity.SessionId, ...]:
         return tuple(
-            name for name, carried in self.open.items() if carried.is_called()
+            name for name, carried in self.open.items() if carried.is_polled()
         )
 
     def _command(self, commands: wire.Commands) -> None:
--- a/mulberrywalk/entry/calling.py
+++ b/mulberrywalk/entry/target_client.py
@@ -14,7 +14,7 @@
 _WHOLE_PERCENT = 100
 
 
-class Answer(enum.Enum):
+class CallResult(enum.Enum):
     """What a target said to an order."""
 
     DONE = 'done'
@@ -23,15 +23,15 @@
     # The attempt, or a later one of its task, has ended or was stopped here.
     BARRED = 'barred'
     # The lease that the order carried had run out when it arrived.
-    LATE = 'late'
-    NO_ROOM = 'no_room'
+    LEASE_EXPIRED = 'late'
+    NO_CAPACITY = 'no_room'
     NO_TICKET = 'no_ticket'
-    UNWELL = 'unwell'
+    UNHEALTHY = 'unwell'
     INVALID = 'invalid'
     # The life that the order was meant for is not there any more.
-    GONE = 'gone'
+    WRONG_INCARNATION = 'gone'
     # No answer: the order may have been carried out, or may be later.
-    NONE = 'none'
+    NO_REPLY = 'none'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Running:
+class RunningAttempt:
     """An attempt that runs; gauge is the tail of its response times in ms.
 
     The gauge of a task that serves no users is the processor that it uses.
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ended:
+class EndedAttempt:
     """An attempt that has ended; number counts the ends of the life."""
 
     number: int
@@ -65,17 +65,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class PollResult:
     """What a look has shown; clock_ms is the target's own clock."""
 
     clock_ms: int
     born_at: int
-    running: tuple[Running, ...]
-    ended: tuple[Ended, ...]
+    running: tuple[RunningAttempt, ...]
+    ended: tuple[EndedAttempt, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Glance:
+class PollRequest:
     """A look that is to be made.
 
     until extends the lease to that time of the target's clock, None for not.
@@ -84,18 +84,18 @@
     """
 
     term: int
-    until: int | None
+    lease_until_ms: int | None
     acknowledged: int
     wait_ms: int
 
 
-class TargetCaller(abc.ABC):
+class TargetClient(abc.ABC):
     """Makes the calls to targets; each gives up by itself in time."""
 
     @abc.abstractmethod
-    async def look(
-        self, destination: Destination, glance: Glance
-    ) -> Seen | Answer:
+    async def poll(
+        self, destination: Destination, glance: PollRequest
+    ) -> PollResult | CallResult:
         """Return what a look has shown, or why there is nothing."""
 
     @abc.abstractmethod
@@ -103,15 +103,15 @@
         self,
         destination: Destination,
         command: wire.StartCommand,
-        until: int,
+        lease_until_ms: int,
         term: int,
-    ) -> Answer:
+    ) -> CallResult:
         """Start an attempt under a lease until a time of the target."""
 
     @abc.abstractmethod
     async def stop(
         self, destination: Destination, attempt: identity.AttemptId, term: int
-    ) -> Answer:
+    ) -> CallResult:
         """Stop an attempt, and bar it where it was not started yet."""
 
     @abc.abstractmethod
@@ -121,43 +121,44 @@
         attempt: identity.AttemptId,
         percent: int,
         term: int,
-    ) -> Answer:
+    ) -> CallResult:
         """Let an attempt work at a share of its speed."""
 
 
 @dataclasses.dataclass(slots=True)
 class Lease:
-    """Until when a target may run what it was told to.
+    """The lease under which a target runs its attempts.
 
-    sampled_ms is a time of the target's clock that had passed at sampled_at
-    of the own one; granted_from is the own time from which the leader counts
-    the lease that it has granted.
+    clock_sample_ms is a reading of the target's clock, taken no later than
+    sampled_at on this entry's clock; granted_from is the time on this entry's
+    clock from which the leader counts the granted lease. Times are monotonic
+    milliseconds.
     """
 
-    length_ms: int
-    sampled_ms: int | None = None
+    duration_ms: int
+    clock_sample_ms: int | None = None
     sampled_at: int = 0
     granted_from: int | None = None
 
-    def learn(self, clock_ms: int, received_at: int) -> None:
+    def sample_clock(self, clock_ms: int, received_at: int) -> None:
         """Take a reading of the target's clock from an answer."""
-        self.sampled_ms = clock_ms
+        self.clock_sample_ms = clock_ms
         self.sampled_at = received_at
 
-    def until(self) -> int | None:
+    def expires_at(self) -> int | None:
         """Return the end of the lease by the target's clock, or None.
 
         The clock may be slow and the answer may have been under way for
         long: both make the lease end earlier than the leader counts.
         """
-        if self.sampled_ms is None or self.granted_from is None:
+        if self.clock_sample_ms is None or self.granted_from is None:
             return None
-        left = self.granted_from + self.length_ms - self.sampled_at
+        left = self.granted_from + self.duration_ms - self.sampled_at
         part = _WHOLE_PERCENT - _DRIFT_PERCENT
-        return self.sampled_ms + max(0, left) * part // _WHOLE_PERCENT
+        return self.clock_sample_ms + max(0, left) * part // _WHOLE_PERCENT
 
-    def left_ms(self, now: int) -> int:
+    def remaining_ms(self, now: int) -> int:
         """Return how much of the lease is left, zero for none."""
-        if self.sampled_ms is None or self.granted_from is None:
+        if self.clock_sample_ms is None or self.granted_from is None:
             return 0
-        return max(0, self.granted_from + self.length_ms - now)
+        return max(0, self.granted_from + self.duration_ms - now)
--- a/mulberrywalk/entry/upstream.py
+++ b/mulberrywalk/entry/upstream.py
@@ -16,12 +16,12 @@
 
 # An entry that could not prove for this long that its configuration is
 # current takes no new work.
-CURRENT_MS = 3000
+CONFIGURATION_MAX_AGE_MS = 3000
 _REDIAL_S = 0.1
 _POLL_S = 0.02
 
-Taker = Callable[[Any], None]
-ToLeader = channel.Stream[wire.FromEntryBatch, wire.ToEntryBatch]
+MessageHandler = Callable[[Any], None]
+LeaderStream = channel.Stream[wire.FromEntryBatch, wire.ToEntryBatch]
 
 
 class RedirectError(ConnectionError):
@@ -34,13 +34,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Hooks:
+class TargetHandlers:
     """Who takes what the leader sends for targets.
 
     carried returns the called targets that the entry has, for a new leader.
     """
 
-    carried: Callable[[], tuple[identity.SessionId, ...]]
+    list_polled: Callable[[], tuple[identity.SessionId, ...]]
     command: Callable[[wire.Commands], None]
     renew: Callable[[wire.Renewed], None]
     end: Callable[[wire.Gone], None]
@@ -55,30 +55,30 @@
         lines: journal.Journal,
         meter: cost.Meter,
         *,
-        current_ms: int = CURRENT_MS,
+        configuration_max_age_ms: int = CONFIGURATION_MAX_AGE_MS,
     ) -> None:
         """Prepare; run dials the replicas in turn.
 
-        current_ms is for how long a proof that the configuration is current
-        counts.
+        configuration_max_age_ms is how long the configuration counts as
+        current after the leader last confirmed it.
         """
-        self.assign: Callable[[wire.Assignment], None] | None = None
-        self.ask_advice: Callable[[wire.AdviceWanted], None] | None = None
+        self.on_assignment: Callable[[wire.Assignment], None] | None = None
+        self.on_advice_wanted: Callable[[wire.AdviceWanted], None] | None = None
         self.is_stopping = False
-        self._current_ms = current_ms
+        self._current_ms = configuration_max_age_ms
         self.configuration: configuration.Configuration | None = None
-        self.hooks: Hooks | None = None
-        self.addresses = address.Addresses(addresses)
+        self.target_handlers: TargetHandlers | None = None
+        self.addresses = address.ReplicaAddresses(addresses)
         self._journal = lines
         self._meter = meter
         self._calls = pending.PendingCalls()
         self._outbox: channel.Outbox[wire.FromEntry] = channel.Outbox()
-        self._confirmed_at = -current_ms
+        self._confirmed_at = -configuration_max_age_ms
         self._is_linked = False
-        self._takers: MappingProxyType[Any, Taker] = MappingProxyType(
+        self._takers: MappingProxyType[Any, MessageHandler] = MappingProxyType(
             {
                 wire.Redirect: self._follow,
-                wire.Reply: self._calls.answer,
+                wire.Reply: self._calls.complete,
                 wire.LeaderPulse: self._take_pulse,
                 wire.ConfigurationChanged: self._take_configuration,
                 wire.MembersChanged: self._take_members,
@@ -90,7 +90,7 @@
     def is_current(self) -> bool:
         """Return whether the configuration was proved current lately."""
         is_known = self.configuration is not None
-        return is_known and self.proof_age_ms() < self._current_ms
+        return is_known and self.confirmation_age_ms() < self._current_ms
 
     async def wait_until_current(self, seconds: float) -> bool:
         """Return whether the configuration is, or soon was, proved current."""
@@ -99,7 +99,7 @@
                 await anyio.sleep(_POLL_S)
         return self.is_current()
 
-    def proof_age_ms(self) -> int:
+    def confirmation_age_ms(self) -> int:
         """Return how long ago the configuration was proved current."""
         return clock.monotonic_ms() - self._confirmed_at
 
@@ -116,7 +116,7 @@
 
         None tells, as for call, that a leader may have taken it.
         """
-        return (await self._ask(request, seconds)).tell()
+        return (await self._ask(request, seconds)).reply_or_refusal()
 
     def send(self, message: wire.FromEntry) -> None:
         """Send a message that nobody waits for; dropped without a leader."""
@@ -133,7 +133,7 @@
                 preferred = _first_address(errors)
             except* ConnectionError:
                 preferred = ''
-                self.addresses.fail(dialled, clock.monotonic_ms())
+                self.addresses.mark_failed(dialled, clock.monotonic_ms())
             self._is_linked = False
             await anyio.sleep(_REDIAL_S)
 
@@ -157,22 +157,24 @@
             )
             self._outbox = channel.Outbox()
             self._is_linked = True
-            if self.hooks is not None:
-                self._outbox.put(wire.Carried(self.hooks.carried()))
-            for message in self._calls.messages():
+            if self.target_handlers is not None:
+                self._outbox.put(
+                    wire.Carried(self.target_handlers.list_polled())
+                )
+            for message in self._calls.unanswered():
                 self._outbox.put(message)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._write, stream)
                 group.start_soon(self._read, stream)
 
-    async def _write(self, stream: ToLeader) -> None:
+    async def _write(self, stream: LeaderStream) -> None:
         messages: tuple[wire.FromEntry, ...] = ()
         while True:
             await stream.send(self._batch((*messages, self._pulse())))
             taken = await self._outbox.take(channel.PULSE_S)
             messages = tuple(filter(self._calls.mark_sent, taken))
 
-    async def _read(self, stream: ToLeader) -> None:
+    async def _read(self, stream: LeaderStream) -> None:
         while True:
             batch = await stream.receive()
             self._journal.clock.witness(batch.clock)
@@ -202,8 +204,8 @@
         taker = self._takers.get(type(message))
         if taker is not None:
             taker(message)
-        elif self.hooks is not None:
-            _take_for_targets(self.hooks, message)
+        elif self.target_handlers is not None:
+            _take_for_targets(self.target_handlers, message)
 
     def _follow(self, redirect: wire.Redirect) -> None:
         raise RedirectError(redirect.address)
@@ -212,12 +214,12 @@
         self.addresses.replace(changed.addresses)
 
     def _take_assignment(self, assigned: wire.Assignment) -> None:
-        if self.assign is not None:
-            self.assign(assigned)
+        if self.on_assignment is not None:
+            self.on_assignment(assigned)
 
     def _take_question(self, wanted: wire.AdviceWanted) -> None:
-        if self.ask_advice is not None:
-            self.ask_advice(wanted)
+        if self.on_advice_wanted is not None:
+            self.on_advice_wanted(wanted)
 
     def _take_pulse(self, pulse: wire.LeaderPulse) -> None:
         current = self.configuration
@@ -244,10 +246,12 @@
     )
 
 
-def _take_for_targets(hooks: Hooks, message: wire.ToEntry) -> None:
+def _take_for_targets(
+    target_handlers: TargetHandlers, message: wire.ToEntry
+) -> None:
     if isinstance(message, wire.Commands):
-        hooks.command(message)
+        target_handlers.command(message)
     elif isinstance(message, wire.Renewed):
-        hooks.renew(message)
+        target_handlers.renew(message)
     elif isinstance(message, wire.Gone):
-        hooks.end(message)
+        target_handlers.end(message)
--- a/mulberrywalk/platform/entry.py
+++ b/mulberrywalk/platform/entry.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from ..entry import adviser, called, program
+from ..entry import adviser, polled, program
 from ..telemetry import journal
 from . import front, http, setting, worker
 
@@ -29,10 +29,10 @@
         """Serve under settings that are watched at a path."""
         self._path = path
         self._settings = settings
-        self._parts: program.Parts | None = None
+        self._parts: program.Components | None = None
 
     def extend(
-        self, parts: program.Parts, application: program.Application
+        self, parts: program.Components, application: program.Application
     ) -> tuple[program.Application, tuple[str, ...]]:
         """Serve callers beside the entry's own interface."""
         self._parts = parts
@@ -71,16 +71,18 @@
         if parts is None:
             raise AssertionError('the extension was not composed')
         clients = worker.Clients()
-        calling = called.CalledTargets(
-            worker.Worker(clients, parts.lines),
+        calling = polled.PolledTargets(
+            worker.Worker(clients, parts.event_log),
             parts.leader,
             parts.sessions,
-            parts.lines,
+            parts.event_log,
         )
-        asking = adviser.Adviser(
-            worker.Advice(clients, self._settings.advice or '', parts.lines),
+        asking = adviser.AdviceQueue(
+            worker.Advice(
+                clients, self._settings.advice or '', parts.event_log
+            ),
             parts.leader,
-            parts.lines,
+            parts.event_log,
         )
         async with anyio.create_task_group() as group:
             group.start_soon(calling.run)
@@ -88,7 +90,9 @@
             group.start_soon(follow_settings, self._path, parts)
 
 
-async def follow_settings(path: pathlib.Path, parts: program.Parts) -> None:
+async def follow_settings(
+    path: pathlib.Path, parts: program.Components
+) -> None:
     """Add the replicas of changed settings to those that are dialled."""
     seen = setting.changed_at(path)
     while True:
@@ -99,17 +103,17 @@
             _read_again(path, parts)
 
 
-def _read_again(path: pathlib.Path, parts: program.Parts) -> None:
+def _read_again(path: pathlib.Path, parts: program.Components) -> None:
     """Take over what can be read of changed settings."""
     try:
         settings = setting.read(path)
     except setting.SettingsError as error:
-        parts.lines.warn('settings refused', str(error))
+        parts.event_log.warn('settings refused', str(error))
         return
     for odd in settings.odd_seeds():
-        parts.lines.record('seed passed over', odd)
+        parts.event_log.record('seed passed over', odd)
     parts.leader.addresses.add(settings.seed_peers())
-    parts.lines.record('settings read', ', '.join(settings.seeds))
+    parts.event_log.record('settings read', ', '.join(settings.seeds))
 
 
 def translate(settings: setting.Settings) -> program.Settings:
@@ -126,7 +130,9 @@
         drain_limit_ms=max(
             0, grace_ms - _STOP_MARGIN_MS - min(_NOTICE_MS, grace_ms // 2)
         ),
-        current_ms=int(settings.bounds.config_apply_ms * _CURRENT_PART),
+        configuration_max_age_ms=int(
+            settings.bounds.config_apply_ms * _CURRENT_PART
+        ),
     )
 
 
--- a/mulberrywalk/platform/front.py
+++ b/mulberrywalk/platform/front.py
@@ -51,11 +51,11 @@
 class Front:
     """Answers callers by calls to the leader."""
 
-    def __init__(self, parts: program.Parts) -> None:
+    def __init__(self, parts: program.Components) -> None:
         """Prepare; serve is the ASGI application."""
         self._leader: upstream.Upstream = parts.leader
-        self._duty = parts.interface.duty
-        self._lines: journal.Journal = parts.lines
+        self._duty = parts.api.serving_state
+        self._lines: journal.Journal = parts.event_log
         self._metrics = parts.metrics
         self._routing: configuration.Routing | None = None
         self._prefixes: dict[str, list[configuration.Queue]] = {}
@@ -88,7 +88,7 @@
             return self._answer_readiness()
         asked_at = clock.monotonic_ms()
         if not await self._leader.wait_until_current(_HOLD_S):
-            age_ms = self._leader.proof_age_ms()
+            age_ms = self._leader.confirmation_age_ms()
             self._lines.record(
                 'refused',
                 f'{request.method} {request.path}: '
--- a/mulberrywalk/platform/front_test.py
+++ b/mulberrywalk/platform/front_test.py
@@ -6,7 +6,7 @@
 import pytest
 
 from ..core import configuration, job
-from ..entry import caller, upstream
+from ..entry import http_api, upstream
 from ..telemetry import cost, journal, metric
 from ..transport import codec
 from . import front
@@ -50,16 +50,16 @@
 
     def __init__(self, leader):
         self.leader = leader
-        self.lines = journal.Journal(journal.Origin('e', 'd'))
+        self.event_log = journal.Journal(journal.Origin('e', 'd'))
         self.metrics = metric.Exposition(metric.NoMetrics())
-        self.interface = self
-        self.duty = caller.Duty()
+        self.api = self
+        self.serving_state = http_api.ServingState()
 
 
 def ask(leader, method, path, body=b'', *, is_draining=False, headers=()):
     """Return the status and the headers of an answer."""
     parts = Parts(leader)
-    parts.duty.is_draining = is_draining
+    parts.serving_state.is_draining = is_draining
     sent = []
 
     async def receive():
--- a/mulberrywalk/platform/setting_test.py
+++ b/mulberrywalk/platform/setting_test.py
@@ -39,8 +39,8 @@
     """What the entry is composed with."""
 
     def __init__(self):
-        self.lines = journal.Journal(journal.Origin('e', 'd'))
-        self.leader = links.Upstream(('10.0.0.1:7000',), self.lines, METER)
+        self.event_log = journal.Journal(journal.Origin('e', 'd'))
+        self.leader = links.Upstream(('10.0.0.1:7000',), self.event_log, METER)
 
 
 METER = cost.Meter()
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..core import configuration, event, identity, job, resource
-from ..entry import calling
+from ..entry import target_client
 from ..replica import registry
 from ..transport import reading
 from . import bound
@@ -172,11 +172,11 @@
 )
 _REFUSALS = MappingProxyType(
     {
-        'fence': calling.Answer.FENCED,
-        'old': calling.Answer.BARRED,
-        'late': calling.Answer.LATE,
-        'room': calling.Answer.NO_ROOM,
-        'ticket': calling.Answer.NO_TICKET,
+        'fence': target_client.CallResult.FENCED,
+        'old': target_client.CallResult.BARRED,
+        'late': target_client.CallResult.LEASE_EXPIRED,
+        'room': target_client.CallResult.NO_CAPACITY,
+        'ticket': target_client.CallResult.NO_TICKET,
     }
 )
 
@@ -274,23 +274,25 @@
     return None if told is None else max(0, int(told))
 
 
-def read_listing(body: bytes) -> calling.Seen:
+def read_listing(body: bytes) -> target_client.PollResult:
     """Return what a worker lists; raises WireError."""
     with reading.refused_as(WireError):
         read = _listings.decode(body)
         running = tuple(_running_of(row) for row in read.running)
         ended = tuple(_ended_of(row) for row in read.finished)
-        return calling.Seen(int(read.clock_ms), read.born, running, ended)
+        return target_client.PollResult(
+            int(read.clock_ms), read.born, running, ended
+        )
 
 
-def read_refusal(body: bytes) -> calling.Answer:
+def read_refusal(body: bytes) -> target_client.CallResult:
     """Return why a worker refuses an order."""
     try:
         with reading.refused_as(WireError):
             read = _refusals.decode(body)
     except WireError:
-        return calling.Answer.INVALID
-    return _REFUSALS.get(read.reason, calling.Answer.INVALID)
+        return target_client.CallResult.INVALID
+    return _REFUSALS.get(read.reason, target_client.CallResult.INVALID)
 
 
 def read_tickets(body: bytes) -> tuple[tuple[identity.TargetId, str], ...]:
@@ -323,13 +325,13 @@
     return saved
 
 
-def _running_of(row: tuple[object, ...]) -> calling.Running:
+def _running_of(row: tuple[object, ...]) -> target_client.RunningAttempt:
     """Return what a row of runs says: task, run, saved, percent, gauge.
 
     A gauge that is no number from zero on counts as zero.
     """
     gauge = row[_GAUGE] if len(row) > _GAUGE else 0
-    return calling.Running(
+    return target_client.RunningAttempt(
         _attempt_of(row[0], row[1]), _saved_of(row[2]), _reading_of(gauge)
     )
 
@@ -340,7 +342,7 @@
     return round(gauge) if 0 <= gauge <= bound.LAST_MS else 0
 
 
-def _ended_of(row: tuple[object, ...]) -> calling.Ended:
+def _ended_of(row: tuple[object, ...]) -> target_client.EndedAttempt:
     """Return what a row of ends says: number, task, run, how, saved."""
     number = row[0]
     if not bound.is_count(number):
@@ -349,7 +351,9 @@
     if reason is None:
         raise WireError('how an attempt has ended is not known')
     attempt = _attempt_of(row[1], row[2])
-    return calling.Ended(number, attempt, reason, _saved_of(row[4]))
+    return target_client.EndedAttempt(
+        number, attempt, reason, _saved_of(row[4])
+    )
 
 
 def _queue_of(route: Route) -> configuration.Queue:
--- a/mulberrywalk/platform/wire_test.py
+++ b/mulberrywalk/platform/wire_test.py
@@ -17,7 +17,7 @@
     snapshot,
     state,
 )
-from ..entry import calling
+from ..entry import target_client
 from . import wire
 
 ROUTE = MappingProxyType(
@@ -201,7 +201,9 @@
         ],
     }
     seen = wire.read_listing(encoded(listing))
-    assert seen.running == (calling.Running('j.0.1.17/2', 'saved', 300),)
+    assert seen.running == (
+        target_client.RunningAttempt('j.0.1.17/2', 'saved', 300),
+    )
     assert [one.reason for one in seen.ended] == [
         job.EndReason.COMPLETED,
         job.EndReason.FAILED,
@@ -233,12 +235,12 @@
         for reason in ('fence', 'old', 'late', 'room', 'ticket', 'odd')
     }
     assert told == {
-        'fence': calling.Answer.FENCED,
-        'old': calling.Answer.BARRED,
-        'late': calling.Answer.LATE,
-        'room': calling.Answer.NO_ROOM,
-        'ticket': calling.Answer.NO_TICKET,
-        'odd': calling.Answer.INVALID,
+        'fence': target_client.CallResult.FENCED,
+        'old': target_client.CallResult.BARRED,
+        'late': target_client.CallResult.LEASE_EXPIRED,
+        'room': target_client.CallResult.NO_CAPACITY,
+        'ticket': target_client.CallResult.NO_TICKET,
+        'odd': target_client.CallResult.INVALID,
     }
 
 
@@ -275,7 +277,7 @@
 
 def test_deeply_nested_refusal_is_no_answer_to_an_order():
     told = wire.read_refusal(deepen({'reason': 'room'}))
-    assert told is calling.Answer.INVALID
+    assert told is target_client.CallResult.INVALID
 
 
 ODD_NUMBERS = (-1, -1e300, 1e300, 1e308, 10**40, -(10**40), 2**63, 10**4299)
@@ -413,7 +415,7 @@
 def test_gauge_that_is_no_reading_counts_as_none(gauge):
     row = [TASK, 1, '', 0, gauge]
     seen = wire.read_listing(encoded({**LISTING, 'running': [row]}))
-    assert seen.running == (calling.Running(f'{TASK}/1', '', 0),)
+    assert seen.running == (target_client.RunningAttempt(f'{TASK}/1', '', 0),)
 
 
 @given(
--- a/mulberrywalk/platform/worker.py
+++ b/mulberrywalk/platform/worker.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..core import identity
-from ..entry import adviser, calling
+from ..entry import adviser, target_client
 from ..telemetry import journal
 from ..transport import wire as messages
 from . import bound, http, wire
@@ -38,11 +38,11 @@
 
 _STATUSES = MappingProxyType(
     {
-        http.OK: calling.Answer.DONE,
-        http.BAD_REQUEST: calling.Answer.INVALID,
-        _WRONG_LIFE: calling.Answer.GONE,
-        http.TOO_MANY: calling.Answer.UNWELL,
-        http.UNAVAILABLE: calling.Answer.UNWELL,
+        http.OK: target_client.CallResult.DONE,
+        http.BAD_REQUEST: target_client.CallResult.INVALID,
+        _WRONG_LIFE: target_client.CallResult.WRONG_INCARNATION,
+        http.TOO_MANY: target_client.CallResult.UNHEALTHY,
+        http.UNAVAILABLE: target_client.CallResult.UNHEALTHY,
     }
 )
 
@@ -142,7 +142,7 @@
     return Answered(answered.status_code, b''.join(chunks))
 
 
-class Worker(calling.TargetCaller):
+class Worker(target_client.TargetClient):
     """Orders and looks as calls to workers."""
 
     def __init__(self, clients: Clients, lines: journal.Journal) -> None:
@@ -150,22 +150,24 @@
         self._clients = clients
         self._lines = lines
 
-    async def look(
-        self, destination: calling.Destination, glance: calling.Glance
-    ) -> calling.Seen | calling.Answer:
+    async def poll(
+        self,
+        destination: target_client.Destination,
+        glance: target_client.PollRequest,
+    ) -> target_client.PollResult | target_client.CallResult:
         """Return what a look has shown, or why there is nothing."""
         body: dict[str, Any] = {
             'fencingToken': glance.term,
             'ackCursor': glance.acknowledged,
         }
-        if glance.until is not None:
-            body['deadlineMs'] = glance.until
+        if glance.lease_until_ms is not None:
+            body['deadlineMs'] = glance.lease_until_ms
         if glance.wait_ms:
             body['waitMs'] = glance.wait_ms
         seconds = _LOOK_S + glance.wait_ms / _MS_PER_S
         answered = await self._call(destination, 'hold', body, seconds)
         if answered is None:
-            return calling.Answer.NONE
+            return target_client.CallResult.NO_REPLY
         if answered.status != http.OK:
             return _answer_of(answered)
         try:
@@ -174,15 +176,15 @@
             self._lines.warn(
                 'listing refused', f'of {destination.target}: {error}'
             )
-            return calling.Answer.INVALID
+            return target_client.CallResult.INVALID
 
     async def start(
         self,
-        destination: calling.Destination,
+        destination: target_client.Destination,
         command: messages.StartCommand,
         until: int,
         term: int,
-    ) -> calling.Answer:
+    ) -> target_client.CallResult:
         """Start an attempt under a lease until a time of the worker."""
         body = _order(command.attempt, term)
         body['spec'] = command.payload
@@ -195,35 +197,42 @@
 
     async def stop(
         self,
-        destination: calling.Destination,
+        destination: target_client.Destination,
         attempt: identity.AttemptId,
         term: int,
-    ) -> calling.Answer:
+    ) -> target_client.CallResult:
         """Stop an attempt, and bar it where it was not started yet."""
         body = _order(attempt, term)
         return await self._order(destination, 'run-stop', body)
 
     async def pace(
         self,
-        destination: calling.Destination,
+        destination: target_client.Destination,
         attempt: identity.AttemptId,
         percent: int,
         term: int,
-    ) -> calling.Answer:
+    ) -> target_client.CallResult:
         """Let an attempt work at a share of its speed."""
         body = _order(attempt, term)
         body['percent'] = percent
         return await self._order(destination, 'pace', body)
 
     async def _order(
-        self, destination: calling.Destination, path: str, body: dict[str, Any]
-    ) -> calling.Answer:
+        self,
+        destination: target_client.Destination,
+        path: str,
+        body: dict[str, Any],
+    ) -> target_client.CallResult:
         answered = await self._call(destination, path, body, _ORDER_S)
-        return calling.Answer.NONE if answered is None else _answer_of(answered)
+        return (
+            target_client.CallResult.NO_REPLY
+            if answered is None
+            else _answer_of(answered)
+        )
 
     async def _call(
         self,
-        destination: calling.Destination,
+        destination: target_client.Destination,
         path: str,
         body: dict[str, Any],
         seconds: float,
@@ -237,7 +246,7 @@
         )
 
 
-class Advice(adviser.AdviserCaller):
+class Advice(adviser.AdviserClient):
     """Questions as calls to the adviser of the platform."""
 
     def __init__(
@@ -273,7 +282,7 @@
     return {'task': task, 'runId': run, 'fencingToken': term}
 
 
-def _answer_of(answered: Answered) -> calling.Answer:
+def _answer_of(answered: Answered) -> target_client.CallResult:
     if answered.status == http.CONFLICT:
         return wire.read_refusal(answered.body)
-    return _STATUSES.get(answered.status, calling.Answer.NONE)
+    return _STATUSES.get(answered.status, target_client.CallResult.NO_REPLY)
--- a/mulberrywalk/platform/worker_test.py
+++ b/mulberrywalk/platform/worker_test.py
@@ -9,7 +9,7 @@
 import pytest
 
 from ..core import identity
-from ..entry import calling
+from ..entry import target_client
 from ..telemetry import journal
 from . import worker
 
@@ -32,20 +32,20 @@
     caller = worker.Worker(
         worker.Clients(), journal.Journal(journal.Origin('e', 'd'))
     )
-    glance = calling.Glance(1, None, 0, 0)
-    return anyio.run(caller.look, destination, glance)
+    glance = target_client.PollRequest(1, None, 0, 0)
+    return anyio.run(caller.poll, destination, glance)
 
 
 @pytest.mark.parametrize('address', ODD_ADDRESSES)
 def test_address_that_cannot_be_called_gives_no_answer(address):
-    target = calling.Destination(identity.TargetId('i-1'), address)
-    assert look(target) is calling.Answer.NONE
+    target = target_client.Destination(identity.TargetId('i-1'), address)
+    assert look(target) is target_client.CallResult.NO_REPLY
 
 
 @pytest.mark.parametrize('name', ['\xe9', 'a\nb', '\x00', '\u2488'])
 def test_id_that_no_header_can_carry_gives_no_answer(name):
-    target = calling.Destination(identity.TargetId(name), '127.0.0.1:9')
-    assert look(target) is calling.Answer.NONE
+    target = target_client.Destination(identity.TargetId(name), '127.0.0.1:9')
+    assert look(target) is target_client.CallResult.NO_REPLY
 
 
 @pytest.mark.parametrize('address', ODD_ADDRESSES)
@@ -88,23 +88,23 @@
 
 def look_at(server):
     address = f'127.0.0.1:{server.server_port}'
-    return look(calling.Destination(identity.TargetId('i-1'), address))
+    return look(target_client.Destination(identity.TargetId('i-1'), address))
 
 
 def test_listing_is_read(server):
     server.body = LISTING
-    assert look_at(server) == calling.Seen(1, 5, (), ())
+    assert look_at(server) == target_client.PollResult(1, 5, (), ())
 
 
 def test_answer_without_end_is_not_kept_in_memory(server):
     server.body = LISTING + PADDING
-    assert look_at(server) is calling.Answer.NONE
+    assert look_at(server) is target_client.CallResult.NO_REPLY
 
 
 def test_packed_answer_is_not_unpacked(server):
     server.told = {'content-encoding': 'gzip'}
     server.body = gzip.compress(LISTING + PADDING)
-    assert look_at(server) is calling.Answer.NONE
+    assert look_at(server) is target_client.CallResult.NO_REPLY
 
 
 @pytest.mark.parametrize(
@@ -120,4 +120,4 @@
 def test_odd_headers_of_an_answer_end_nothing(server, told):
     server.told = told
     server.body = b'zz\r\n'
-    assert isinstance(look_at(server), calling.Answer)
+    assert isinstance(look_at(server), target_client.CallResult)
