--- a/mulberrywalk/core/dispatch.py
+++ b/mulberrywalk/core/dispatch.py
@@ -77,7 +77,9 @@
 
 def _serve_queues(tables: state.State) -> None:
     fairness = share.compute_fair_shares(tables)
-    turns = [priority_of(tables, key, fairness) for key in tables.waiting.queues]
+    turns = [
+        priority_of(tables, key, fairness) for key in tables.waiting.queues
+    ]
     heapq.heapify(turns)
     while turns:
         turn = heapq.heappop(turns)
