--- a/mulberrywalk/core/absence.py
+++ b/mulberrywalk/core/absence.py
@@ -118,7 +118,7 @@
     silence = tables.targets[attempt.target].silence
     if silence is None:
         return 0
-    return max(silence.heard_at(), attempt.started_at)
+    return max(silence.last_heard_at(), attempt.started_at)
 
 
 def had_started(ended: job.AttemptRecord) -> bool:
@@ -223,8 +223,8 @@
         if key not in self._fitting_targets:
             self._fitting_targets[key] = [
                 load
-                for load in self._tables.fleet.roomiest(needs.demand())
-                if load.is_meant_for(pool, needs.label)
+                for load in self._tables.fleet.most_free(needs.demand())
+                if load.matches(pool, needs.label)
             ]
         if not needs.per_target_limit:
             return self._fitting_targets[key]
@@ -240,7 +240,7 @@
         slots = 0
         for load in self._targets_with_room(step):
             is_sufficient = (
-                resource.fits(required, load.free) and not load.is_probed
+                resource.fits(required, load.free) and not load.is_on_probation
             )
             remaining = self._remaining_on(step, needs, load)
             slots += min(remaining, MIN_FREE_SLOTS if is_sufficient else 1)
@@ -265,7 +265,7 @@
 def _find_silent_targets(tables: state.State) -> dict[identity.TargetId, int]:
     """Return when each silent target was last heard from."""
     return {
-        record.target: record.silence.heard_at()
+        record.target: record.silence.last_heard_at()
         for record in tables.targets.values()
         if record.silence is not None
     }
--- a/mulberrywalk/core/absence_test.py
+++ b/mulberrywalk/core/absence_test.py
@@ -5,7 +5,7 @@
 from . import absence, cell_test, event, job, snapshot
 
 NAME = '0123456789abcdef'
-TERMS = job.AdviceTerms(decision_ms=20, per_target_us=300, valid_ms=2500)
+TERMS = job.AdviceSettings(decision_ms=20, per_target_us=300, valid_ms=2500)
 # The whole processor capacity of each target of the cell.
 TARGET_MILLICORES = 4000
 
--- a/mulberrywalk/core/advice.py
+++ b/mulberrywalk/core/advice.py
@@ -107,7 +107,7 @@
 def _format_request_age(tables: state.State, step: job.Step) -> str:
     """Return the age of the request, zero if it is no longer open."""
     request_age_ms = step.asked_at and tables.time - step.asked_at
-    return effect.detail({'asked_ms_ago': request_age_ms})
+    return effect.format_detail({'asked_ms_ago': request_age_ms})
 
 
 def _choose_targets(
@@ -158,7 +158,7 @@
     slots = resource.count_fitting(needs.demand(), load.free, job.MAX_TASKS)
     if not needs.per_target_limit:
         return slots
-    live_count = state.count_on(tables, step.step, load.target)
+    live_count = state.count_step_attempts(tables, step.step, load.target)
     return min(slots, needs.per_target_limit - live_count)
 
 
@@ -173,12 +173,12 @@
     return bool(step.asked_at) and tables.time < step.asked_at + timeout_ms
 
 
-def max_answer_ms(terms: job.AdviceTerms) -> int:
+def max_answer_ms(terms: job.AdviceSettings) -> int:
     """Return the expected time to answer the largest request, in ms."""
     return _expected_answer_ms(terms, MAX_TARGETS_PER_REQUEST)
 
 
-def _expected_answer_ms(terms: job.AdviceTerms, count: int) -> int:
+def _expected_answer_ms(terms: job.AdviceSettings, count: int) -> int:
     return terms.decision_ms + terms.per_target_us * count // _US_PER_MS
 
 
--- a/mulberrywalk/core/confirmation.py
+++ b/mulberrywalk/core/confirmation.py
@@ -59,7 +59,7 @@
     None can arrive while there is no leader or while the target is silent.
     """
     changed_at = tables.targets[attempt.target].silence_changed_at
-    return max(attempt.placed_at, tables.led_from, changed_at)
+    return max(attempt.placed_at, tables.leader_since, changed_at)
 
 
 def _stop_gang(tables: state.State, step: job.Step) -> None:
--- a/mulberrywalk/core/confirmation_test.py
+++ b/mulberrywalk/core/confirmation_test.py
@@ -96,7 +96,7 @@
         cell.dispatch(confirmation.START_TIMEOUT_MS - 1)
     )
     restored = snapshot.decode(snapshot.encode(cell.tables))
-    assert restored.led_from == cell.tables.led_from
+    assert restored.leader_since == cell.tables.leader_since
     assert stopped_attempts(cell.dispatch(1)) == [attempt.attempt]
 
 
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -8,7 +8,6 @@
 
 from . import (
     absence,
-    duration,
     effect,
     event,
     fleet,
@@ -18,6 +17,7 @@
     queueing,
     retry,
     state,
+    trace_detail,
     workflow,
 )
 
@@ -48,7 +48,7 @@
     if task.state is job.TaskState.BLOCKED:
         finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.state is job.TaskState.WAITING:
-        queueing.stop_waiting(tables, task)
+        queueing.remove_task(tables, task)
         finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.attempt is not None:
         stop(tables, tables.attempts[task.attempt], reason)
@@ -69,7 +69,7 @@
     session = tables.targets[load.target].session
     if session is None:
         raise AssertionError(f'target {load.target} is open without a session')
-    queueing.stop_waiting(tables, task)
+    queueing.remove_task(tables, task)
     number = number or task.attempts + 1
     attempt = job.Attempt(
         attempt=identity.AttemptId(f'{task.task}/{number}'),
@@ -89,7 +89,7 @@
     )
     state.add_attempt(tables, attempt)
     tables.emit(effect.StartAttempt(attempt))
-    trace(tables, 'placed', attempt, duration.of_wait(tables, task))
+    trace(tables, 'placed', attempt, trace_detail.for_placement(tables, task))
 
 
 def record_start(tables: state.State, started: event.AttemptStart) -> None:
@@ -98,7 +98,7 @@
     if attempt is None or attempt.started_at:
         return
     task = tables.tasks[attempt.task]
-    detail = duration.of_start(tables, attempt)
+    detail = trace_detail.for_start(tables, attempt)
     state.replace_attempt(
         tables, msgspec.structs.replace(attempt, started_at=tables.time)
     )
@@ -143,7 +143,9 @@
     state.remove_attempt(tables, attempt)
     ended = _reject_large_answer(tables, attempt, ended)
     task = _close_attempt(tables, attempt, ended)
-    trace(tables, 'ended', attempt, duration.of_end(tables, attempt, ended))
+    trace(
+        tables, 'ended', attempt, trace_detail.for_end(tables, attempt, ended)
+    )
     _record_result(tables, attempt, task, ended.reason)
     if ended.reason in {job.EndReason.COMPLETED, job.EndReason.FAILED}:
         _set_job_running(tables, task.job)
@@ -277,7 +279,7 @@
 ) -> None:
     record = tables.jobs[task.job]
     if reason is job.EndReason.COMPLETED:
-        retry.credit(tables, record.specification.team)
+        retry.credit_budget(tables, record.specification.team)
         health.record_success(tables, attempt.target)
         tables.jobs[task.job] = msgspec.structs.replace(
             record, completions=record.completions + 1
@@ -285,7 +287,7 @@
     elif reason is job.EndReason.FAILED:
         _record_failure(tables, attempt, record)
     elif _is_target_at_fault(attempt, reason):
-        health.distrust(tables, attempt.target)
+        health.mark_unsteady(tables, attempt.target)
 
 
 def _record_failure(
@@ -316,7 +318,7 @@
 
 
 def _may_retry(specification: job.Specification, reason: job.EndReason) -> bool:
-    if reason in job.UNSTARTED:
+    if reason in job.NEVER_RAN_REASONS:
         return True
     if reason is job.EndReason.ANSWER_TOO_LARGE:
         return False
@@ -332,7 +334,7 @@
     not_before = 0
     if reason in {job.EndReason.FAILED, job.EndReason.COMPLETED}:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
-        not_before = tables.time + retry.delay(
+        not_before = tables.time + retry.charge_retry(
             tables, tables.specification(task).team, task.failures
         )
     elif reason is job.EndReason.SESSION_LOST and attempt.started_at:
@@ -341,7 +343,7 @@
     if retry.is_exhausted(tables, task):
         finish_task(tables, task, job.TaskState.FAILED)
         return
-    queueing.wait_again(tables, task, not_before)
+    queueing.requeue(tables, task, not_before)
 
 
 def _final_state(reason: job.EndReason) -> job.TaskState:
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -79,14 +79,14 @@
     if identifier is None or identifier not in tables.sessions:
         return
     session = tables.sessions[identifier]
-    for attempt in sorted(tables.by_session.get(identifier, ())):
+    for attempt in sorted(tables.attempts_by_session.get(identifier, ())):
         lifecycle.record_end(
             tables,
             event.AttemptEnd(attempt, job.EndReason.SESSION_LOST, tables.time),
         )
     tables.sessions.pop(identifier)
     tables.session_counts[session.target] -= 1
-    tables.by_session.pop(identifier, None)
+    tables.attempts_by_session.pop(identifier, None)
     tables.emit(effect.EndSession(identifier))
     tables.emit(
         effect.Trace('session ended', target=session.target, detail=identifier)
@@ -112,9 +112,9 @@
         tables.targets[record.target] = msgspec.structs.replace(
             record, is_leaving=True
         )
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
         tables.emit(effect.Trace('leaving', target=record.target))
-    for name in sorted(tables.by_session.get(identifier, ())):
+    for name in sorted(tables.attempts_by_session.get(identifier, ())):
         attempt = tables.attempts[name]
         if not attempt.started_at:
             lifecycle.stop(tables, attempt, job.StopReason.RECALLED)
@@ -139,8 +139,8 @@
         tables.targets[record.target] = msgspec.structs.replace(
             record, silence=silence, silence_changed_at=tables.time
         )
-        health.distrust(tables, record.target)
-        health.refresh(tables, record.target)
+        health.mark_unsteady(tables, record.target)
+        health.refresh_index(tables, record.target)
         label = f'silent for {quiet_ms} ms' if quiet_ms else 'heard again'
         tables.emit(effect.Trace(label, target=record.target))
     return outcome.Recorded()
@@ -254,7 +254,7 @@
             labels=frozenset(record.labels),
         )
     )
-    health.refresh(tables, record.target)
+    health.refresh_index(tables, record.target)
 
 
 def _is_superseded(
@@ -289,7 +289,7 @@
     existing = tables.targets.get(name)
     if existing is None or existing.silence is None:
         return tables.time
-    return existing.silence.heard_at()
+    return existing.silence.last_heard_at()
 
 
 def _take_over_attempts(
@@ -310,7 +310,7 @@
         if one.target == session.target and one.session != session.session
     ]
     for name in earlier:
-        for attempt in sorted(tables.by_session.get(name, ())):
+        for attempt in sorted(tables.attempts_by_session.get(name, ())):
             _move_attempt(
                 tables, tables.attempts[attempt], session.session, last_heard_at
             )
@@ -334,7 +334,7 @@
     )
     state.remove_attempt(tables, attempt)
     state.add_attempt(tables, moved)
-    state.note_absence(tables, tables.tasks[moved.task])
+    state.mark_absent(tables, tables.tasks[moved.task])
     tables.emit(effect.StopAttempt(moved))
 
 
@@ -350,11 +350,11 @@
         for position in queue
         if position.task not in tables.steps
     ]
-    for name in sorted((*queued, *tables.waiting.aside)):
+    for name in sorted((*queued, *tables.waiting.infeasible)):
         task = tables.tasks[name]
         key = queueing.key_of(tables, task)
         tables.waiting.discard(key, queueing.position_of(task))
-        tables.waiting.aside.pop(name, None)
+        tables.waiting.infeasible.pop(name, None)
         queueing.enqueue(tables, task)
 
 
@@ -365,7 +365,7 @@
             record, session=None, is_leaving=False, silence=None
         )
         tables.targets[record.target] = record
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
     # Earlier sessions of the target may still hold capacity.
     if not tables.session_counts[record.target]:
         tables.session_counts.pop(record.target)
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -36,46 +36,48 @@
 _GANG_RESTART_REASONS = frozenset(
     (
         job.EndReason.FAILED,
-        *job.UNSTARTED,
+        *job.NEVER_RAN_REASONS,
         job.EndReason.SESSION_LOST,
         job.EndReason.LEASE_LAPSED,
         job.EndReason.GANG_INCOMPLETE,
     )
 )
 
-ShapeCheck = tuple[Callable[[job.Specification], bool], job.Fault]
+ShapeCheck = tuple[Callable[[job.Specification], bool], job.FieldError]
 
 _TASK_CHECKS: tuple[ShapeCheck, ...] = (
     (
         lambda specification: not specification.steps,
-        job.Fault('steps', 'only a workflow may have steps'),
+        job.FieldError('steps', 'only a workflow may have steps'),
     ),
     (
         lambda specification: bool(specification.tasks),
-        job.Fault('tasks', 'a job must have at least one task'),
+        job.FieldError('tasks', 'a job must have at least one task'),
     ),
 )
 _WORKFLOW_CHECKS: tuple[ShapeCheck, ...] = (
     (
         lambda specification: not specification.tasks,
-        job.Fault('tasks', 'a workflow must have steps, not tasks'),
+        job.FieldError('tasks', 'a workflow must have steps, not tasks'),
     ),
     (
         lambda specification: bool(specification.steps),
-        job.Fault('steps', 'a workflow must have at least one step'),
+        job.FieldError('steps', 'a workflow must have at least one step'),
     ),
     (
         lambda specification: specification.is_idempotent,
-        job.Fault('idempotent', 'a workflow must be idempotent'),
+        job.FieldError('idempotent', 'a workflow must be idempotent'),
     ),
     (
         lambda specification: specification.count_tasks() <= job.MAX_TASKS,
-        job.Fault('steps', f'a job may have at most {job.MAX_TASKS} tasks'),
+        job.FieldError(
+            'steps', f'a job may have at most {job.MAX_TASKS} tasks'
+        ),
     ),
 )
 
 
-def find_fault(specification: job.Specification) -> job.Fault | None:
+def find_fault(specification: job.Specification) -> job.FieldError | None:
     """Return the first fault in the tasks and steps of a job, or None."""
     is_workflow = specification.kind is job.Kind.WORKFLOW
     checks = _WORKFLOW_CHECKS if is_workflow else _TASK_CHECKS
@@ -91,13 +93,13 @@
 
 def _find_step_fault(
     number: int, step: job.StepSpecification
-) -> job.Fault | None:
+) -> job.FieldError | None:
     if any(earlier not in range(number) for earlier in step.after):
-        return job.Fault(
+        return job.FieldError(
             f'steps[{number}].after', 'a step may only come after earlier steps'
         )
     if step.is_gang and step.is_lasting:
-        return job.Fault(
+        return job.FieldError(
             f'steps[{number}].gang', 'a gang step cannot be lasting'
         )
     return None
@@ -200,12 +202,12 @@
     numbers = list(tables.waiting.steps[name])
     members = members_of(tables, step)
     for number in numbers:
-        queueing.stop_waiting(tables, members[number])
+        queueing.remove_task(tables, members[number])
     tables.steps[name] = msgspec.structs.replace(
         step, order=step.order + _DEMOTION_MS
     )
     for number in numbers:
-        queueing.wait(tables, members[number])
+        queueing.add_task(tables, members[number])
     return True
 
 
@@ -234,10 +236,10 @@
         record, released=occurrence + 1
     )
     due_at = max(_due_at(record, occurrence), record.submitted_at)
-    typical_ms = estimate.typical_ms(tables, specification.queue)
+    typical_ms = estimate.typical_duration_ms(tables, specification.queue)
     allowed_ms = objective.objective_ms(specification, typical_ms)
     for number, needs in enumerate(specification.steps):
-        chain_ms = objective.chain_ms(specification, number, typical_ms)
+        chain_ms = objective.critical_path_ms(specification, number, typical_ms)
         step = job.Step(
             step=job.step_id(record.job, occurrence, number),
             job=record.job,
@@ -269,7 +271,7 @@
     if step.blocked_by:
         tables.tasks[task.task] = task
     else:
-        queueing.wait_again(tables, task)
+        queueing.requeue(tables, task)
 
 
 def _is_completed(
@@ -299,11 +301,11 @@
     if attempt.started_at:
         queue = tables.specification(task).queue
         elapsed_ms = tables.time - attempt.started_at
-        estimate.learn(tables, queue, attempt.target, elapsed_ms)
+        estimate.add_sample(tables, queue, attempt.target, elapsed_ms)
     tables.steps[step.step] = step
     lifecycle.finish_task(tables, task, job.TaskState.COMPLETED)
     if step.unfinished == 0:
-        speed.learn(tables, step, members_of(tables, step))
+        speed.add_samples(tables, step, members_of(tables, step))
         _unblock_dependents(tables, step)
 
 
@@ -320,7 +322,7 @@
         tables.steps[name] = step
         if step.blocked_by == 0:
             for task in members_of(tables, step):
-                queueing.wait_again(tables, task)
+                queueing.requeue(tables, task)
 
 
 def _retry_task(
@@ -331,7 +333,7 @@
 ) -> None:
     step = tables.steps[task.step_id()]
     needs = tables.step_specification(step)
-    if ended.reason in job.UNSTARTED:
+    if ended.reason in job.NEVER_RAN_REASONS:
         _drop_ticket(tables, step, attempt)
     if ended.reason is job.EndReason.FAILED:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
@@ -343,13 +345,13 @@
         lifecycle.finish_task(tables, task, job.TaskState.FAILED)
         _abandon_job(tables, task.job)
         return
-    queueing.wait_again(tables, task, _retry_at(tables, task, ended.reason))
+    queueing.requeue(tables, task, _retry_at(tables, task, ended.reason))
 
 
 def _retry_at(
     tables: state.State, task: job.Task, reason: job.EndReason
 ) -> int:
-    if reason in job.UNSTARTED:
+    if reason in job.NEVER_RAN_REASONS:
         return tables.time + _RETRY_DELAY_MS
     if (
         reason is not job.EndReason.FAILED
@@ -367,7 +369,7 @@
     if needs.is_lasting:
         return False
     failures = step.failures if needs.is_gang else task.failures
-    return failures >= retry.most_failures(tables, task)
+    return failures >= retry.failure_limit(tables, task)
 
 
 def _stop_gang_run(
