--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -163,7 +163,7 @@
             outcome.RefusalReason.REQUEST_REUSED,
             f'there is a job {specification.job} already',
         )
-    fault = workflow.find_fault(specification)
+    fault = workflow.find_field_error(specification)
     if fault is not None:
         return outcome.NotRun(
             outcome.RefusalReason.INVALID_JOB,
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -77,21 +77,21 @@
 )
 
 
-def find_fault(specification: job.Specification) -> job.FieldError | None:
-    """Return the first fault in the tasks and steps of a job, or None."""
+def find_field_error(specification: job.Specification) -> job.FieldError | None:
+    """Return the first error in the tasks and steps of a job, or None."""
     is_workflow = specification.kind is job.Kind.WORKFLOW
     checks = _WORKFLOW_CHECKS if is_workflow else _TASK_CHECKS
-    of_shape = (
-        fault for is_valid, fault in checks if not is_valid(specification)
+    shape_errors = (
+        error for is_valid, error in checks if not is_valid(specification)
     )
-    of_steps = itertools.starmap(
-        _find_step_fault, enumerate(specification.steps)
+    step_errors = itertools.starmap(
+        _find_step_error, enumerate(specification.steps)
     )
-    faults = itertools.chain(of_shape, of_steps)
-    return next((found for found in faults if found is not None), None)
+    errors = itertools.chain(shape_errors, step_errors)
+    return next((found for found in errors if found is not None), None)
 
 
-def _find_step_fault(
+def _find_step_error(
     number: int, step: job.StepSpecification
 ) -> job.FieldError | None:
     if any(earlier not in range(number) for earlier in step.after):
--- a/mulberrywalk/entry/http_api.py
+++ b/mulberrywalk/entry/http_api.py
@@ -309,7 +309,7 @@
     specification = decode(encoded, job.Specification)
     if isinstance(specification, http_response.InputError):
         return specification
-    fault = workflow.find_fault(specification)
+    fault = workflow.find_field_error(specification)
     if fault is not None:
         return http_response.InputError(_CLIENT_ERROR, *fault)
     return specification
