--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -8,7 +8,6 @@
 
 from . import (
     absence,
-    duration,
     effect,
     event,
     fleet,
@@ -18,6 +17,7 @@
     queueing,
     retry,
     state,
+    trace_detail,
     workflow,
 )
 
@@ -41,15 +41,15 @@
 )
 
 
-def call_off(
+def cancel_task(
     tables: state.State, task: job.Task, reason: job.StopReason
 ) -> None:
     """End a task that has not started, and stop one that is live."""
     if task.state is job.TaskState.BLOCKED:
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.state is job.TaskState.WAITING:
-        queueing.stop_waiting(tables, task)
-        finish(tables, task, job.TaskState.CANCELLED)
+        queueing.remove_task(tables, task)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.attempt is not None:
         stop(tables, tables.attempts[task.attempt], reason)
 
@@ -69,7 +69,7 @@
     session = tables.targets[load.target].session
     if session is None:
         raise AssertionError(f'{load.target} is open without a session')
-    queueing.stop_waiting(tables, task)
+    queueing.remove_task(tables, task)
     number = number or task.attempts + 1
     attempt = job.Attempt(
         attempt=identity.AttemptId(f'{task.task}/{number}'),
@@ -89,16 +89,16 @@
     )
     state.add_attempt(tables, attempt)
     tables.emit(effect.StartAttempt(attempt))
-    trace(tables, 'placed', attempt, duration.of_wait(tables, task))
+    trace(tables, 'placed', attempt, trace_detail.for_placement(tables, task))
 
 
-def start(tables: state.State, started: event.AttemptStart) -> None:
+def record_start(tables: state.State, started: event.AttemptStart) -> None:
     """Record that a target has confirmed a start."""
     attempt = tables.attempts.get(started.attempt)
     if attempt is None or attempt.started_at:
         return
     task = tables.tasks[attempt.task]
-    told = duration.of_start(tables, attempt)
+    told = trace_detail.for_start(tables, attempt)
     state.replace_attempt(
         tables, msgspec.structs.replace(attempt, started_at=tables.time)
     )
@@ -112,7 +112,9 @@
     trace(tables, 'started', attempt, told)
 
 
-def save(tables: state.State, saved: event.AttemptCheckpoint) -> None:
+def record_checkpoint(
+    tables: state.State, saved: event.AttemptCheckpoint
+) -> None:
     """Keep what a running attempt has saved, for the next one."""
     task = tables.tasks[tables.attempts[saved.attempt].task]
     if task.state not in job.FINAL_TASK_STATES:
@@ -133,7 +135,7 @@
     trace(tables, 'stopping', stopped, reason.value)
 
 
-def end(tables: state.State, ended: event.AttemptEnd) -> None:
+def record_end(tables: state.State, ended: event.AttemptEnd) -> None:
     """Record the known end of an attempt and decide what follows."""
     attempt = tables.attempts.get(ended.attempt)
     if attempt is None:
@@ -141,26 +143,30 @@
     state.remove_attempt(tables, attempt)
     ended = _limit_answer(tables, attempt, ended)
     task = _close_attempt(tables, attempt, ended)
-    trace(tables, 'ended', attempt, duration.of_end(tables, attempt, ended))
+    trace(
+        tables, 'ended', attempt, trace_detail.for_end(tables, attempt, ended)
+    )
     _credit(tables, attempt, task, ended.reason)
     if ended.reason in {job.EndReason.COMPLETED, job.EndReason.FAILED}:
         _set_job_running(tables, task.job)
     specification = tables.specification(task)
     if specification.kind is job.Kind.WORKFLOW:
-        workflow.end_attempt(tables, task, attempt, ended)
+        workflow.handle_attempt_end(tables, task, attempt, ended)
         return
     is_service = specification.kind is job.Kind.SERVICE
     if ended.reason is job.EndReason.COMPLETED and not is_service:
-        finish(tables, task, job.TaskState.COMPLETED)
+        finish_task(tables, task, job.TaskState.COMPLETED)
     elif tables.jobs[task.job].is_cancelled:
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif _may_run_again(specification, ended.reason):
         _try_again(tables, task, attempt, ended.reason)
     else:
-        finish(tables, task, _final_state(ended.reason))
+        finish_task(tables, task, _final_state(ended.reason))
 
 
-def finish(tables: state.State, task: job.Task, final: job.TaskState) -> None:
+def finish_task(
+    tables: state.State, task: job.Task, final: job.TaskState
+) -> None:
     """Give a task its final state, and its job when it was the last."""
     tables.tasks[task.task] = msgspec.structs.replace(
         task, state=final, ended_at=tables.time, attempt=None
@@ -184,7 +190,7 @@
     ]
 
 
-def count_pending(tables: state.State, record: job.Job, change: int) -> None:
+def adjust_pending(tables: state.State, record: job.Job, change: int) -> None:
     """Change how many jobs of a queue have not begun."""
     queue = record.specification.queue
     if queue:
@@ -331,9 +337,9 @@
         # What never started has not taken the target down.
         task = msgspec.structs.replace(task, losses=task.losses + 1)
     if retry.is_exhausted(tables, task):
-        finish(tables, task, job.TaskState.FAILED)
+        finish_task(tables, task, job.TaskState.FAILED)
         return
-    queueing.wait_again(tables, task, not_before)
+    queueing.requeue(tables, task, not_before)
 
 
 def _final_state(reason: job.EndReason) -> job.TaskState:
@@ -345,7 +351,7 @@
 def _set_job_running(tables: state.State, identifier: identity.JobId) -> None:
     record = tables.jobs[identifier]
     if record.state is job.JobState.QUEUED:
-        count_pending(tables, record, -1)
+        adjust_pending(tables, record, -1)
         tables.jobs[identifier] = msgspec.structs.replace(
             record, state=job.JobState.RUNNING
         )
@@ -358,7 +364,7 @@
         states.add(job.TaskState.CANCELLED)
     worst = next(one for one in _WORST_FIRST if one in states)
     if record.state is job.JobState.QUEUED:
-        count_pending(tables, record, -1)
+        adjust_pending(tables, record, -1)
     tables.jobs[record.job] = msgspec.structs.replace(
         record, state=_FINAL_STATES[worst], ended_at=tables.time
     )
--- a/mulberrywalk/core/reducer.py
+++ b/mulberrywalk/core/reducer.py
@@ -13,12 +13,12 @@
 from . import (
     admission,
     advice,
+    advice_prefetch,
     configuration_update,
     confirmation,
     dispatch,
     effect,
     event,
-    foresight,
     outcome,
     session,
     state,
@@ -59,10 +59,10 @@
     return outcome.Recorded()
 
 
-def _announce_departure(
+def _drain(
     tables: state.State, occurred: event.DepartureAnnounced
 ) -> outcome.Outcome:
-    return session.depart(tables, occurred.session, occurred.remaining_ms)
+    return session.drain(tables, occurred.session, occurred.remaining_ms)
 
 
 def _begin_leadership(
@@ -72,16 +72,16 @@
     return outcome.Recorded()
 
 
-def _note_silence(
+def _record_silence(
     tables: state.State, occurred: event.SilenceNoted
 ) -> outcome.Outcome:
-    return session.note_silence(tables, occurred.session, occurred.quiet_ms)
+    return session.record_silence(tables, occurred.session, occurred.quiet_ms)
 
 
-def _receive_report(
+def _record_report(
     tables: state.State, occurred: event.ReportReceived
 ) -> outcome.Outcome:
-    recorded = session.report(tables, occurred)
+    recorded = session.record_report(tables, occurred)
     usage.apply_reported_usage(tables, occurred)
     return recorded
 
@@ -89,9 +89,9 @@
 def _advance_time(
     tables: state.State, occurred: event.TimePassed
 ) -> outcome.Outcome:
-    confirmation.review(tables)
+    confirmation.stop_overdue_starts(tables)
     dispatch.run(tables)
-    foresight.review(tables)
+    advice_prefetch.prefetch(tables)
     return outcome.Recorded()
 
 
@@ -103,12 +103,12 @@
             event.SessionOpened: _open_session,
             event.SessionExpired: _expire_session,
             event.LeadershipBegun: _begin_leadership,
-            event.SilenceNoted: _note_silence,
-            event.DepartureAnnounced: _announce_departure,
-            event.ReportReceived: _receive_report,
+            event.SilenceNoted: _record_silence,
+            event.DepartureAnnounced: _drain,
+            event.ReportReceived: _record_report,
             event.ConfigurationPatched: configuration_update.patch,
             event.ConfigurationReplaced: configuration_update.replace,
-            event.AdviceReceived: advice.receive,
+            event.AdviceReceived: advice.record_answer,
             event.TimePassed: _advance_time,
         }
     )
--- a/mulberrywalk/core/snapshot.py
+++ b/mulberrywalk/core/snapshot.py
@@ -105,7 +105,7 @@
     for session_record in tables.sessions.values():
         tables.session_counts[session_record.target] += 1
     for record in tables.targets.values():
-        session.install_load(tables, record)
+        session.index_target(tables, record)
         if record.address:
             tables.addresses[record.address] = record.target
         if record.health.until > tables.time:
@@ -121,9 +121,9 @@
         if record.unfinished == 0:
             tables.finished.add((record.ended_at, record.job))
         elif specification.kind is job.Kind.WORKFLOW:
-            workflow.schedule(tables, record)
+            workflow.schedule_next_occurrence(tables, record)
         if record.state is job.JobState.QUEUED:
-            lifecycle.count_pending(tables, record, 1)
+            lifecycle.adjust_pending(tables, record, 1)
 
 
 def _index_tasks(tables: state.State) -> None:
@@ -133,7 +133,7 @@
         if task.state is job.TaskState.WAITING
     ]
     for task in waiting:
-        queueing.wait(tables, task)
+        queueing.add_task(tables, task)
     for attempt in tables.attempts.values():
         if attempt.lost_at or not attempt.started_at:
             state.mark_absent(tables, tables.tasks[attempt.task])
--- a/mulberrywalk/core/duration.py
+++ b/mulberrywalk/core/trace_detail.py
@@ -9,7 +9,7 @@
 from . import absence, effect, event, job, state
 
 
-def of_wait(tables: state.State, task: job.Task) -> str:
+def for_placement(tables: state.State, task: job.Task) -> str:
     """Return how long a task that is placed has waited."""
     waited_ms = tables.time - task.waiting_since
     return effect.format_detail(
@@ -17,7 +17,7 @@
     )
 
 
-def of_start(tables: state.State, attempt: job.Attempt) -> str:
+def for_start(tables: state.State, attempt: job.Attempt) -> str:
     """Return how long ago an attempt that is confirmed was placed."""
     told = _placed(tables, attempt)
     return effect.format_detail(
@@ -25,7 +25,7 @@
     )
 
 
-def of_end(
+def for_end(
     tables: state.State, attempt: job.Attempt, ended: event.AttemptEnd
 ) -> str:
     """Return why an attempt has ended, and how long it held its capacity."""
@@ -33,7 +33,7 @@
     if attempt.started_at:
         told['started_ms_ago'] = tables.time - attempt.started_at
     else:
-        is_proof = ended.reason in absence.PROOFS
+        is_proof = ended.reason in absence.REASONS_PROVING_START
         told['started'] = 'unseen' if is_proof else 'never'
     if attempt.stopping is not None:
         told['stopping'] = attempt.stopping.value
@@ -54,4 +54,4 @@
     """Return for how long a task that lasts has not run."""
     if task.task not in tables.absent:
         return {}
-    return {'absent_ms': tables.time - absence.since_of(tables, task)}
+    return {'absent_ms': tables.time - absence.absent_since(tables, task)}
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -101,9 +101,9 @@
     return None
 
 
-def begin(tables: state.State, record: job.Job) -> None:
+def schedule_first_occurrence(tables: state.State, record: job.Job) -> None:
     """Release the first occurrence of a job, or schedule it."""
-    schedule(tables, record)
+    schedule_next_occurrence(tables, record)
     release_due(tables)
 
 
@@ -114,7 +114,7 @@
         _, name = tables.due.pop(0)
         record = tables.jobs[name]
         _release(tables, record)
-        schedule(tables, tables.jobs[name])
+        schedule_next_occurrence(tables, tables.jobs[name])
 
 
 def drop_occurrences(tables: state.State, name: identity.JobId) -> None:
@@ -132,7 +132,7 @@
         lifecycle.finish_job(tables, record)
 
 
-def schedule(tables: state.State, record: job.Job) -> None:
+def schedule_next_occurrence(tables: state.State, record: job.Job) -> None:
     """Note when the next occurrence of a job is due, if there is one."""
     is_ended = record.is_cancelled or record.is_abandoned
     occurrences = record.specification.count_occurrences()
@@ -165,7 +165,7 @@
     return [tables.tasks[_task_id(step.step, index)] for index in range(count)]
 
 
-def end_attempt(
+def handle_attempt_end(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
@@ -178,12 +178,12 @@
     if _is_completed(needs, step, attempt, ended.reason):
         _complete(tables, task, attempt, needs)
     elif record.is_cancelled or record.is_abandoned:
-        lifecycle.finish(tables, task, job.TaskState.CANCELLED)
+        lifecycle.finish_task(tables, task, job.TaskState.CANCELLED)
     else:
         _run_again(tables, task, attempt, ended)
 
 
-def put_back(tables: state.State, name: identity.StepId) -> bool:
+def demote_if_worthless(tables: state.State, name: identity.StepId) -> bool:
     """Let a step wait behind others once its job is worth nothing.
 
     It is not given up: whatever was accepted is run. Lasting work is worth
@@ -197,16 +197,16 @@
     numbers = list(tables.waiting.steps[name])
     members = members_of(tables, step)
     for number in numbers:
-        queueing.stop_waiting(tables, members[number])
+        queueing.remove_task(tables, members[number])
     tables.steps[name] = msgspec.structs.replace(
         step, order=step.order + _PUT_BACK_MS
     )
     for number in numbers:
-        queueing.wait(tables, members[number])
+        queueing.add_task(tables, members[number])
     return True
 
 
-def runs_of(tables: state.State, step: job.Step) -> int:
+def highest_attempt_number(tables: state.State, step: job.Step) -> int:
     """Return the highest attempt number of any task of a step."""
     numbers = (task.attempts for task in members_of(tables, step))
     return max(itertools.chain(numbers, (0,)))
@@ -231,10 +231,10 @@
         record, released=occurrence + 1
     )
     due_at = max(_due_at(record, occurrence), record.submitted_at)
-    typical_ms = estimate.typical_ms(tables, specification.queue)
+    typical_ms = estimate.typical_duration_ms(tables, specification.queue)
     allowed_ms = objective.objective_ms(specification, typical_ms)
     for number, needs in enumerate(specification.steps):
-        chain_ms = objective.chain_ms(specification, number, typical_ms)
+        chain_ms = objective.critical_path_ms(specification, number, typical_ms)
         step = job.Step(
             step=job.step_id(record.job, occurrence, number),
             job=record.job,
@@ -266,7 +266,7 @@
     if step.blocked_by:
         tables.tasks[task.task] = task
     else:
-        queueing.wait_again(tables, task)
+        queueing.requeue(tables, task)
 
 
 def _is_completed(
@@ -296,11 +296,11 @@
     if attempt.started_at:
         queue = tables.specification(task).queue
         took_ms = tables.time - attempt.started_at
-        estimate.learn(tables, queue, attempt.target, took_ms)
+        estimate.add_sample(tables, queue, attempt.target, took_ms)
     tables.steps[step.step] = step
-    lifecycle.finish(tables, task, job.TaskState.COMPLETED)
+    lifecycle.finish_task(tables, task, job.TaskState.COMPLETED)
     if step.unfinished == 0:
-        speed.learn(tables, step, members_of(tables, step))
+        speed.add_samples(tables, step, members_of(tables, step))
         _unblock(tables, step)
 
 
@@ -317,7 +317,7 @@
         tables.steps[name] = step
         if step.blocked_by == 0:
             for task in members_of(tables, step):
-                queueing.wait_again(tables, task)
+                queueing.requeue(tables, task)
 
 
 def _run_again(
@@ -337,10 +337,10 @@
         tables.tasks[task.task] = task
         _break_gang(tables, task, attempt, ended.reason)
     if _is_exhausted(tables, task):
-        lifecycle.finish(tables, task, job.TaskState.FAILED)
+        lifecycle.finish_task(tables, task, job.TaskState.FAILED)
         _abandon(tables, task.job)
         return
-    queueing.wait_again(tables, task, _restart_at(tables, task, ended.reason))
+    queueing.requeue(tables, task, _restart_at(tables, task, ended.reason))
 
 
 def _restart_at(
@@ -406,7 +406,7 @@
     record = msgspec.structs.replace(record, is_abandoned=True)
     tables.jobs[name] = record
     for task in tasks_of(tables, record):
-        lifecycle.call_off(tables, task, job.StopReason.ABANDONED)
+        lifecycle.cancel_task(tables, task, job.StopReason.ABANDONED)
     drop_occurrences(tables, name)
 
 
--- a/mulberrywalk/replica/watch.py
+++ b/mulberrywalk/replica/absence_monitor.py
@@ -16,7 +16,7 @@
 _LINES = 3
 
 
-class Watch:
+class AbsenceMonitor:
     """Looks for lasting tasks that do not run; shows them by line and gauge."""
 
     def __init__(
@@ -30,16 +30,18 @@
         self._journal = lines
         self._metrics = metrics
 
-    def review(self) -> None:
+    def report(self) -> None:
         """Look at the tasks as they are now."""
         now = self._engine.time()
-        found = absence.find(self._engine.tables, now, absence.NOTED_MS)
+        found = absence.find_absences(
+            self._engine.tables, now, absence.REPORT_AFTER_MS
+        )
         self._gauge(found, now)
         for place, absent in enumerate(found[:_LINES], start=1):
             detail = _tell(absent, now)
             self._record(absent, f'{detail} place={place}/{len(found)}')
 
-    def stop(self) -> None:
+    def clear(self) -> None:
         """Show that nothing is known, for another replica leads."""
         self._gauge((), 0)
 
@@ -66,13 +68,13 @@
     told: dict[str, int | str] = {
         'ms': now - absent.since,
         'stage_ms': now - absent.stage_since,
-        'runs': absent.runs,
-        'unstarted': absent.unstarted,
-        'room': absent.room,
+        'runs': absent.attempt_count,
+        'unstarted': absent.unstarted_count,
+        'room': absent.free_slots,
     }
-    last = absent.last
+    last = absent.last_ended
     if last is not None:
-        started = 'yes' if absence.has_run(last) else 'never'
+        started = 'yes' if absence.had_started(last) else 'never'
         told['last'] = last.reason.value
         told['last_target'] = last.target
         told['last_started'] = started
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -33,7 +33,7 @@
         'team': record.specification.team,
         'kind': record.specification.kind.value,
         'urgency': record.specification.urgency.value,
-        'state': state_of(record).value,
+        'state': reported_state(record).value,
         'submitted_at': record.submitted_at,
         'ended_at': record.ended_at,
         'is_cancelled': record.is_cancelled,
@@ -41,7 +41,7 @@
     }
 
 
-def state_of(record: job.Job) -> job.JobState:
+def reported_state(record: job.Job) -> job.JobState:
     """Return the state of a job, final as soon as it is decided."""
     if record.unfinished and record.is_abandoned:
         return job.JobState.FAILED
@@ -69,7 +69,7 @@
     }
 
 
-def explain_heads(tables: state.State) -> list[tuple[str, str]]:
+def explain_queue_heads(tables: state.State) -> list[tuple[str, str]]:
     """Return the first waiting step of each queue, and what it lacks."""
     heads = (queue[0].task for queue in tables.waiting.queues.values() if queue)
     return [
@@ -90,7 +90,7 @@
         'with_room': len(with_room),
         'barred': len(step.barred),
         'tickets': len(step.tickets),
-        'valid': len(advice.find_valid(tables, step)),
+        'valid': len(advice.find_valid_tickets(tables, step)),
         'asked_ms_ago': step.asked_at and tables.time - step.asked_at,
     }
     shown = ' '.join(f'{name}={count}' for name, count in counts.items())
@@ -153,7 +153,7 @@
 
 
 def _waiting_reason(tables: state.State, task: job.Task) -> str:
-    if task.task in tables.waiting.aside:
+    if task.task in tables.waiting.infeasible:
         return 'no target is large enough, however empty'
     if task.not_before > tables.time:
         return 'a retry is delayed'
@@ -171,7 +171,7 @@
     tables: state.State, task: job.Task, demand: resource.Resources
 ) -> list[str]:
     """Return the resources that most targets lack."""
-    is_aside = task.task in tables.waiting.aside
+    is_aside = task.task in tables.waiting.infeasible
     amounts = [
         load.capacity if is_aside else load.free
         for load in tables.fleet.loads.values()
@@ -209,7 +209,7 @@
         conditions.append('silent')
     if record.health.until > tables.time:
         conditions.append('quarantined')
-    if load.is_probed and load.attempts:
+    if load.is_on_probation and load.attempts:
         conditions.append('on_probation')
     if load.reserved_for is not None:
         conditions.append('reserved_for_gang')
