--- a/mulberrywalk/core/advice.py
+++ b/mulberrywalk/core/advice.py
@@ -39,9 +39,9 @@
     """Ask about targets without a valid ticket, unless a request is pending.
 
     suitable lists the targets that the step could run on, leaving aside
-    advice and free capacity. Among the targets with equal room, those that
-    were allowed before come first, because they will be allowed again; if
-    they can hold all waiting tasks, no others are asked about.
+    advice and free capacity. Targets with room come first, and among them
+    those that were allowed before, because they will be allowed again. If
+    these can hold all waiting tasks, no others are asked about.
     """
     record = tables.jobs[step.job]
     terms = record.specification.advice
