--- a/mulberrywalk/entry/__init__.py
+++ b/mulberrywalk/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry program: callers, operators and target sessions."""
+"""The entry process: HTTP API and target sessions."""
--- a/mulberrywalk/entry/acknowledgement.py
+++ b/mulberrywalk/entry/acknowledgement.py
@@ -1,4 +1,4 @@
-"""The ends that a target lists, and which of them it may forget."""
+"""Tracks which attempt ends a target has listed and may discard."""
 
 from __future__ import annotations
 
@@ -6,58 +6,63 @@
 
 from ..core import identity
 
-_REPORT_AGAIN_MS = 1000
+_REPORT_INTERVAL_MS = 1000
 
 
 class EndTracker:
-    """The listed ends of one life of a target, by their numbers.
+    """The ends listed by one incarnation of a target, by sequence number.
 
-    acknowledged is the number up to which the target may forget them.
+    The target may discard all ends up to the number acknowledged.
     """
 
     def __init__(self) -> None:
-        """Start with nothing listed."""
+        """Start with no listed ends."""
         self.acknowledged = 0
         self._numbers: dict[identity.AttemptId, int] = {}
         self._reported_at: dict[identity.AttemptId, int] = {}
-        self._done: set[int] = set()
+        self._committed: set[int] = set()
 
     def is_acknowledged(self) -> bool:
-        """Return whether all ends that were listed are acknowledged."""
+        """Return whether every listed end is acknowledged."""
         return not self._numbers
 
     def skip_below(self, lowest: int) -> None:
-        """Take note of the lowest number that is listed.
+        """Treat all ends below the lowest listed number as acknowledged.
 
-        Lower ones were forgotten when another entry acknowledged them.
+        The target discarded them when another entry acknowledged them.
         """
         self.acknowledged = max(self.acknowledged, lowest - 1)
 
     def track(self, attempt: identity.AttemptId, number: int, now: int) -> bool:
-        """Take a listed end; return whether it is to be reported now.
+        """Record a listed end; return whether to report it to the leader now.
 
-        now is a monotonic time in milliseconds.
+        An unacknowledged end is reported again after _REPORT_INTERVAL_MS. now
+        is a monotonic time in milliseconds.
         """
         self._numbers[attempt] = number
         reported_at = self._reported_at.get(attempt)
-        if reported_at is not None and now - reported_at < _REPORT_AGAIN_MS:
+        if reported_at is not None and now - reported_at < _REPORT_INTERVAL_MS:
             return False
         self._reported_at[attempt] = now
         return True
 
     def reset_reports(self) -> None:
-        """Let all that is listed be reported at the next look."""
+        """Report every listed end again after the next poll."""
         self._reported_at.clear()
 
     def acknowledge(self, attempts: tuple[identity.AttemptId, ...]) -> None:
-        """Let ends be forgotten that are committed, in their order."""
+        """Acknowledge committed ends.
+
+        acknowledged advances only over consecutive numbers, so an end is not
+        discarded before the ones that came earlier.
+        """
         for attempt in attempts:
             self._reported_at.pop(attempt, None)
             number = self._numbers.pop(attempt, None)
             if number is not None:
-                self._done.add(number)
+                self._committed.add(number)
         for following in itertools.count(self.acknowledged + 1):
-            if following not in self._done:
+            if following not in self._committed:
                 return
-            self._done.discard(following)
+            self._committed.discard(following)
             self.acknowledged = following
--- a/mulberrywalk/entry/address.py
+++ b/mulberrywalk/entry/address.py
@@ -1,19 +1,19 @@
-"""The replicas that an entry knows, in the order in which it dials them."""
+"""The replica addresses known to an entry, in dialling order."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-# A replica that has failed is dialled after all others for so long.
+# For this long after a failure, a replica is dialled after all others.
 FAILURE_BACKOFF_MS = 3000
 
 
 class ReplicaAddresses:
-    """Addresses of replicas, host:port; times are monotonic milliseconds."""
+    """Replica addresses as host:port; times are monotonic milliseconds."""
 
-    def __init__(self, known: Iterable[str]) -> None:
-        """Start with the addresses of the settings."""
-        self._known = list(known)
+    def __init__(self, addresses: Iterable[str]) -> None:
+        """Start with the configured addresses."""
+        self._known = list(addresses)
         self._failed_at: dict[str, int] = {}
 
     def all(self) -> list[str]:
@@ -21,9 +21,9 @@
         return list(self._known)
 
     def next(self, now: int) -> str:
-        """Return the addresses in turn, those that failed lately last.
+        """Return the next address, round robin, recently failed ones last.
 
-        Dialling a replica that has no power takes long to fail.
+        Dialling a replica whose host is powered off takes long to fail.
         """
         address = min(
             self._known,
@@ -37,17 +37,17 @@
         return address
 
     def mark_failed(self, address: str, now: int) -> None:
-        """Note that an address did not answer."""
+        """Record a failure to connect to an address."""
         self._failed_at[address] = now
 
-    def add(self, fresh: Iterable[str]) -> None:
-        """Dial these too, before all others."""
+    def add(self, added: Iterable[str]) -> None:
+        """Add addresses that are not known yet, ahead of all others."""
         known = set(self._known)
         self._known = [
-            *(one for one in fresh if one not in known),
+            *(one for one in added if one not in known),
             *self._known,
         ]
 
     def replace(self, members: Iterable[str]) -> None:
-        """Know just these from now on, unless there are none."""
+        """Replace all addresses, unless the new list is empty."""
         self._known = list(members) or self._known
--- a/mulberrywalk/entry/adviser.py
+++ b/mulberrywalk/entry/adviser.py
@@ -1,4 +1,4 @@
-"""Questions to the adviser, one at a time, for the leader."""
+"""Queues the leader's advice requests and sends them one at a time."""
 
 from __future__ import annotations
 
@@ -12,63 +12,64 @@
 from ..transport import wire
 from . import upstream
 
-# Beyond this a question is answered as failed, so that another entry asks.
-_LONGEST_QUEUE = 24
+# Requests beyond this length are reported to the leader as failed at once, so
+# that another entry asks the adviser.
+_MAX_QUEUE_LENGTH = 24
 
 
 class AdviserClient(abc.ABC):
-    """Makes the calls to the adviser."""
+    """A client of the adviser service."""
 
     @abc.abstractmethod
     async def advise(
         self, step: identity.StepId, targets: tuple[identity.TargetId, ...]
     ) -> tuple[tuple[identity.TargetId, str], ...] | None:
-        """Return allowed targets with their tickets, or None on failure."""
+        """Return the allowed targets and their tickets, or None on failure."""
 
 
 class AdviceQueue:
-    """Asks the questions of the leader in turn."""
+    """A bounded queue of advice requests, processed in order."""
 
     def __init__(
         self,
-        caller: AdviserClient,
+        client: AdviserClient,
         leader: upstream.Upstream,
-        lines: journal.Journal,
+        event_log: journal.Journal,
     ) -> None:
-        """Take over the leader's questions."""
-        self._caller = caller
+        """Register as the handler of the leader's advice requests."""
+        self._client = client
         self._leader = leader
-        self._journal = lines
-        self._wanted: collections.deque[wire.AdviceWanted] = collections.deque()
-        self._filled = anyio.Event()
+        self._event_log = event_log
+        self._queue: collections.deque[wire.AdviceWanted] = collections.deque()
+        self._available = anyio.Event()
         leader.on_advice_wanted = self.enqueue
 
     def enqueue(self, wanted: wire.AdviceWanted) -> None:
-        """Queue a question, or answer at once that it failed."""
-        if len(self._wanted) >= _LONGEST_QUEUE:
+        """Queue a request, or report it as failed when the queue is full."""
+        if len(self._queue) >= _MAX_QUEUE_LENGTH:
             self._leader.send(wire.Advised(wanted.step, (), (), 0))
             return
-        self._wanted.append(wanted)
-        self._filled.set()
+        self._queue.append(wanted)
+        self._available.set()
 
     async def run(self) -> None:
-        """Ask one question after the other, for ever."""
+        """Process the queue until cancelled."""
         while True:
-            if not self._wanted:
-                self._filled = anyio.Event()
-                await self._filled.wait()
-            await self._ask(self._wanted.popleft())
+            if not self._queue:
+                self._available = anyio.Event()
+                await self._available.wait()
+            await self._ask(self._queue.popleft())
 
     async def _ask(self, wanted: wire.AdviceWanted) -> None:
-        asked_at = clock.monotonic_ms()
-        allowed = await self._caller.advise(wanted.step, wanted.targets)
-        age_ms = clock.monotonic_ms() - asked_at
-        told = 'failed' if allowed is None else str(len(allowed))
-        self._journal.record(
+        started_at = clock.monotonic_ms()
+        allowed = await self._client.advise(wanted.step, wanted.targets)
+        took_ms = clock.monotonic_ms() - started_at
+        count = 'failed' if allowed is None else str(len(allowed))
+        self._event_log.record(
             'advice',
-            f'{wanted.step}: {told} of {len(wanted.targets)} in {age_ms} ms',
+            f'{wanted.step}: {count} of {len(wanted.targets)} in {took_ms} ms',
             job=wanted.step.split('.')[0],
         )
-        asked = () if allowed is None else wanted.targets
-        # The tickets count from the answer, which came just now.
-        self._leader.send(wire.Advised(wanted.step, asked, allowed or (), 0))
+        queried = () if allowed is None else wanted.targets
+        # Tickets are valid from the time of the answer, so their age is zero.
+        self._leader.send(wire.Advised(wanted.step, queried, allowed or (), 0))
--- a/mulberrywalk/entry/connection.py
+++ b/mulberrywalk/entry/connection.py
@@ -1,4 +1,4 @@
-"""The WebSockets of targets and the sessions that they carry."""
+"""Target sessions over WebSockets that targets open to this entry."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from ..transport import channel, codec, reading, wire
 from . import protocol, session, upstream
 
-_SILENCE_S = 2.0
-_OPEN_S = 5.0
+_SILENCE_TIMEOUT_S = 2.0
+_OPEN_TIMEOUT_S = 5.0
 _POLICY_VIOLATION = 1008
-_TRY_AGAIN = 1013
+_TRY_AGAIN_LATER = 1013
 
 _decoder = msgspec.json.Decoder(protocol.FromTarget)
 _encoder = msgspec.json.Encoder()
 
 
 class ProtocolError(Exception):
-    """A target broke the protocol; the text tells it how."""
+    """A protocol violation by a target; the message is sent to it."""
 
 
 class Connection(session.TargetSession):
-    """One target that is connected to this entry by a WebSocket."""
+    """The session of a target that is connected by a WebSocket."""
 
     def __init__(
         self,
         target: identity.TargetId,
         name: identity.SessionId,
-        lines: journal.Journal,
+        event_log: journal.Journal,
     ) -> None:
-        """Start with nothing to send."""
+        """Start with an empty outbox."""
         self.target = target
         self.session = name
         self.outbox: channel.Outbox[protocol.ToTarget] = channel.Outbox()
-        self._journal = lines
+        self._event_log = event_log
 
     def is_polled(self) -> bool:
-        """Return that the target has dialled in."""
+        """Return False, as the target connects to this entry."""
         return False
 
     def command(self, commands: wire.Commands) -> None:
-        """Send what the leader wants the target to do."""
+        """Send the leader's commands to the target."""
         for start in commands.start:
-            self._journal.record(
+            self._event_log.record(
                 'start sent',
                 job=start.task.split('.')[0],
                 task=start.task,
@@ -59,60 +59,60 @@
                 commands.stop,
                 commands.throttle,
                 commands.acknowledge,
-                self._stamp(),
+                self._read_clock(),
             )
         )
 
     def renew(self, sequence: int) -> None:
-        """Tell the target that its renewal was received."""
-        self.outbox.put(protocol.Renewed(sequence, self._stamp()))
+        """Tell the target that its lease was renewed."""
+        self.outbox.put(protocol.Renewed(sequence, self._read_clock()))
 
     def end(self) -> None:
         """Tell the target that its session is over."""
-        self.outbox.put(protocol.Expired(self._stamp()))
+        self.outbox.put(protocol.Expired(self._read_clock()))
 
     def relocate(self) -> None:
-        """Ask the target to resume at another entry."""
-        self.outbox.put(protocol.Move(self._stamp()))
+        """Ask the target to resume its session at another entry."""
+        self.outbox.put(protocol.Move(self._read_clock()))
 
-    def _stamp(self) -> int:
-        return self._journal.clock.read()
+    def _read_clock(self) -> int:
+        return self._event_log.clock.read()
 
 
 class Connections:
-    """The targets that dial in to this entry."""
+    """Accepts the WebSockets of targets and serves their sessions."""
 
     def __init__(
         self,
         leader: upstream.Upstream,
         sessions: session.Sessions,
-        lines: journal.Journal,
+        event_log: journal.Journal,
     ) -> None:
-        """Keep the sessions of the targets that connect among all."""
+        """Register the sessions of connecting targets in sessions."""
         self._leader = leader
         self._sessions = sessions
-        self._journal = lines
-        self._is_moving = False
+        self._event_log = event_log
+        self._is_relocating = False
 
     def announce_stopping(self) -> None:
-        """Let the leader know that this entry is stopping."""
+        """Announce to the leader that this entry is stopping."""
         self._leader.is_stopping = True
 
     def relocate(self) -> None:
-        """Take no more targets, and let go of all."""
-        self._is_moving = True
+        """Refuse new targets and ask all current ones to move."""
+        self._is_relocating = True
         self._sessions.relocate()
 
     def count(self) -> int:
-        """Return how many targets this entry carries."""
+        """Return the number of target sessions at this entry."""
         return self._sessions.count()
 
     async def accept(self, socket: websockets.WebSocket) -> None:
-        """Serve one target until either end closes or falls silent."""
+        """Serve one target until either side closes or times out."""
         await socket.accept()
         connection: Connection | None = None
         try:
-            connection = await self._greet(socket)
+            connection = await self._handshake(socket)
             async with anyio.create_task_group() as group:
                 group.start_soon(self._read, socket, connection)
                 group.start_soon(_write, socket, connection)
@@ -123,29 +123,29 @@
             websockets.WebSocketDisconnect,
             RuntimeError,
         ) as errors:
-            await _close(socket, str(errors.exceptions[0]), _TRY_AGAIN)
+            await _close(socket, str(errors.exceptions[0]), _TRY_AGAIN_LATER)
         finally:
-            self._forget(connection)
+            self._remove(connection)
 
-    async def _greet(self, socket: websockets.WebSocket) -> Connection:
+    async def _handshake(self, socket: websockets.WebSocket) -> Connection:
         hello = await _receive(socket)
         if not isinstance(hello, protocol.Hello):
             raise ProtocolError('the first message must be hello')
         if hello.version != protocol.VERSION:
             raise ProtocolError('that version is not spoken here')
-        if self._is_moving:
+        if self._is_relocating:
             raise ConnectionError('this entry is stopping')
-        self._journal.clock.witness(hello.clock)
+        self._event_log.clock.witness(hello.clock)
         name = identity.SessionId(hello.resume or '')
         if not name:
             name = await self._open_session(hello)
         connection = Connection(
-            identity.TargetId(hello.target), name, self._journal
+            identity.TargetId(hello.target), name, self._event_log
         )
         self._sessions.open[name] = connection
-        welcome = protocol.Welcome(name, target.LEASE_MS, self._stamp())
+        welcome = protocol.Welcome(name, target.LEASE_MS, self._read_clock())
         connection.outbox.put(welcome)
-        self._journal.record('connected', detail=name, target=hello.target)
+        self._event_log.record('connected', detail=name, target=hello.target)
         return connection
 
     async def _open_session(self, hello: protocol.Hello) -> identity.SessionId:
@@ -157,7 +157,9 @@
             nonce=hello.nonce,
             ended=identity.SessionId(hello.ended) if hello.ended else None,
         )
-        reply = await self._leader.call(wire.OpenSession(announcement), _OPEN_S)
+        reply = await self._leader.call(
+            wire.OpenSession(announcement), _OPEN_TIMEOUT_S
+        )
         if reply is None or reply[codec.TAG] != 'session_granted':
             raise ConnectionError('no session was granted')
         return identity.SessionId(reply['session'])
@@ -167,10 +169,10 @@
     ) -> None:
         while True:
             received = await _receive(socket)
-            self._journal.clock.witness(received.clock)
-            self._take(connection, received)
+            self._event_log.clock.witness(received.clock)
+            self._handle_message(connection, received)
 
-    def _take(
+    def _handle_message(
         self, connection: Connection, received: protocol.FromTarget
     ) -> None:
         if isinstance(received, protocol.Renew):
@@ -178,39 +180,41 @@
                 connection.session, received.sequence
             )
         elif isinstance(received, protocol.Report):
-            self._take_report(connection, received)
+            self._handle_report(connection, received)
         elif isinstance(received, protocol.Leave):
-            self._journal.record('leave received', target=connection.target)
+            self._event_log.record('leave received', target=connection.target)
             self._leader.send(wire.Departure(connection.session))
         else:
             raise ProtocolError('hello was sent twice')
 
-    def _take_report(
+    def _handle_report(
         self, connection: Connection, received: protocol.Report
     ) -> None:
         for started in received.started:
-            self._keep(connection, started.attempt, 'runs', started.clock)
+            self._log_attempt(
+                connection, started.attempt, 'runs', started.clock
+            )
         for ended in received.ended:
             what = f'done: {ended.reason}'
-            self._keep(connection, ended.attempt, what, ended.clock)
+            self._log_attempt(connection, ended.attempt, what, ended.clock)
         self._leader.send(
             wire.Report(
                 connection.session,
-                tuple(map(_start_of, received.started)),
-                tuple(map(_end_of, received.ended)),
-                tuple(map(_usage_of, received.usage)),
+                tuple(map(_to_attempt_start, received.started)),
+                tuple(map(_to_attempt_end, received.ended)),
+                tuple(map(_to_attempt_usage, received.usage)),
             )
         )
 
-    def _keep(
-        self, connection: Connection, attempt: str, what: str, stamp: int
+    def _log_attempt(
+        self, connection: Connection, attempt: str, what: str, timestamp: int
     ) -> None:
         task = attempt.split('/', maxsplit=1)[0]
-        self._journal.keep(
+        self._event_log.keep(
             journal.Line(
-                clock=stamp or self._stamp(),
+                clock=timestamp or self._read_clock(),
                 process=connection.target,
-                data_centre=self._journal.origin.data_centre,
+                data_centre=self._event_log.origin.data_centre,
                 what=what,
                 job=task.split('.')[0],
                 task=task,
@@ -219,25 +223,29 @@
             )
         )
 
-    def _forget(self, connection: Connection | None) -> None:
+    def _remove(self, connection: Connection | None) -> None:
         if connection is None:
             return
         if self._sessions.remove(connection.session, connection):
-            self._journal.record('disconnected', target=connection.target)
+            self._event_log.record('disconnected', target=connection.target)
 
-    def _stamp(self) -> int:
-        return self._journal.clock.read()
+    def _read_clock(self) -> int:
+        return self._event_log.clock.read()
 
 
 async def _receive(socket: websockets.WebSocket) -> protocol.FromTarget:
-    """Return the next message; raises on silence and on bad messages."""
-    with anyio.move_on_after(_SILENCE_S):
+    """Return the next message.
+
+    Raises ConnectionError on a timeout or a disconnect, and ProtocolError on an
+    invalid message.
+    """
+    with anyio.move_on_after(_SILENCE_TIMEOUT_S):
         text = await _receive_text(socket)
         if len(text) > protocol.MAX_MESSAGE_BYTES:
             raise ProtocolError('the message is too large')
         with reading.refused_as(ProtocolError):
             return _decoder.decode(text)
-    raise ConnectionError(f'nothing heard for {_SILENCE_S} s')
+    raise ConnectionError(f'nothing heard for {_SILENCE_TIMEOUT_S} s')
 
 
 async def _receive_text(socket: websockets.WebSocket) -> str:
@@ -252,9 +260,9 @@
 
 async def _write(socket: websockets.WebSocket, connection: Connection) -> None:
     while True:
-        for message in await connection.outbox.take(_SILENCE_S):
+        for message in await connection.outbox.take(_SILENCE_TIMEOUT_S):
             text = _encoder.encode(message).decode()
-            with anyio.fail_after(_SILENCE_S):
+            with anyio.fail_after(_SILENCE_TIMEOUT_S):
                 await socket.send_text(text)
 
 
@@ -262,7 +270,7 @@
     if socket.client_state is not websockets.WebSocketState.CONNECTED:
         return
     refused = _encoder.encode(protocol.Refused(reason)).decode()
-    with anyio.move_on_after(_SILENCE_S):
+    with anyio.move_on_after(_SILENCE_TIMEOUT_S):
         try:
             await socket.send_text(refused)
             await socket.close(code)
@@ -270,13 +278,13 @@
             return
 
 
-def _start_of(started: protocol.Started) -> event.AttemptStart:
+def _to_attempt_start(started: protocol.Started) -> event.AttemptStart:
     return event.AttemptStart(
         identity.AttemptId(started.attempt), clock.wall_of(started.clock)
     )
 
 
-def _end_of(ended: protocol.Ended) -> event.AttemptEnd:
+def _to_attempt_end(ended: protocol.Ended) -> event.AttemptEnd:
     return event.AttemptEnd(
         identity.AttemptId(ended.attempt),
         job.EndReason(ended.reason),
@@ -287,7 +295,7 @@
     )
 
 
-def _usage_of(used: protocol.Usage) -> event.AttemptUsage:
+def _to_attempt_usage(used: protocol.Usage) -> event.AttemptUsage:
     return event.AttemptUsage(
         identity.AttemptId(used.attempt), used.millicores, used.memory_bytes
     )
--- a/mulberrywalk/entry/connection_test.py
+++ b/mulberrywalk/entry/connection_test.py
@@ -1,4 +1,4 @@
-"""Targets that dial in and do not keep to the protocol."""
+"""Tests for connected targets that violate the protocol."""
 
 import json
 from types import MappingProxyType
@@ -20,15 +20,15 @@
         'nonce': 'n',
     }
 )
-DEEP = '[' * 100_000 + ']' * 100_000
+DEEPLY_NESTED = '[' * 100_000 + ']' * 100_000
 
 
 class FakeLeader(upstream.Upstream):
-    """Grants each session and keeps what is sent."""
+    """Grants every session and records the messages sent."""
 
     def __init__(self):
-        lines = journal.Journal(journal.Origin('e', 'd'))
-        super().__init__(('a:1',), lines, cost.Meter())
+        event_log = journal.Journal(journal.Origin('e', 'd'))
+        super().__init__(('a:1',), event_log, cost.Meter())
         self.sent = []
 
     async def call(self, request, seconds):
@@ -38,18 +38,18 @@
         self.sent.append(message)
 
 
-def client_of(leader):
-    lines = journal.Journal(journal.Origin('e', 'd'))
+def client_for(leader):
+    event_log = journal.Journal(journal.Origin('e', 'd'))
     sessions = session.Sessions(leader)
-    targets = connection.Connections(leader, sessions, lines)
-    interface = http_api.HttpApi(leader, targets, lines, metric.NoMetrics())
-    return testclient.TestClient(interface.application())
+    targets = connection.Connections(leader, sessions, event_log)
+    api = http_api.HttpApi(leader, targets, event_log, metric.NoMetrics())
+    return testclient.TestClient(api.application())
 
 
-def read_refusal(socket):
-    """Return the status of the close that follows the reason."""
-    told = json.loads(socket.receive_text())
-    assert told['type'] == 'error'
+def read_close_code(socket):
+    """Return the code of the close that follows the error message."""
+    error = json.loads(socket.receive_text())
+    assert error['type'] == 'error'
     with pytest.raises(websockets.WebSocketDisconnect) as closed:
         socket.receive_text()
     return closed.value.code
@@ -60,32 +60,32 @@
     [
         '{',
         '7',
-        f'{{"type": "renew", "sequence": 1, "x": {DEEP}}}',
+        f'{{"type": "renew", "sequence": 1, "x": {DEEPLY_NESTED}}}',
         json.dumps({**HELLO, 'version': 10**40}),
         json.dumps({**HELLO, 'capacity': {'millicores': 10**40}}),
         json.dumps({**HELLO, 'clock': 2**63}),
     ],
 )
-def test_first_message_that_cannot_be_read_breaks_the_protocol(text):
-    with client_of(FakeLeader()).websocket_connect('/v1/target') as socket:
+def test_unreadable_first_message_violates_the_protocol(text):
+    with client_for(FakeLeader()).websocket_connect('/v1/target') as socket:
         socket.send_text(text)
-        assert read_refusal(socket) == 1008
+        assert read_close_code(socket) == 1008
 
 
-def test_message_of_bytes_breaks_the_protocol():
-    with client_of(FakeLeader()).websocket_connect('/v1/target') as socket:
+def test_binary_message_violates_the_protocol():
+    with client_for(FakeLeader()).websocket_connect('/v1/target') as socket:
         socket.send_bytes(b'\xff')
-        assert read_refusal(socket) == 1008
+        assert read_close_code(socket) == 1008
 
 
-def test_deeply_nested_report_breaks_the_protocol_of_one_target():
+def test_deeply_nested_report_closes_only_its_own_connection():
     leader = FakeLeader()
-    client = client_of(leader)
-    with client.websocket_connect('/v1/target') as odd:
-        odd.send_json(dict(HELLO))
-        assert odd.receive_json()['type'] == 'welcome'
-        odd.send_text(f'{{"type": "report", "started": {DEEP}}}')
-        assert read_refusal(odd) == 1008
-    with client.websocket_connect('/v1/target') as good:
-        good.send_json({**HELLO, 'target': 't2'})
-        assert good.receive_json()['type'] == 'welcome'
+    client = client_for(leader)
+    with client.websocket_connect('/v1/target') as violating:
+        violating.send_json(dict(HELLO))
+        assert violating.receive_json()['type'] == 'welcome'
+        violating.send_text(f'{{"type": "report", "started": {DEEPLY_NESTED}}}')
+        assert read_close_code(violating) == 1008
+    with client.websocket_connect('/v1/target') as conforming:
+        conforming.send_json({**HELLO, 'target': 't2'})
+        assert conforming.receive_json()['type'] == 'welcome'
--- a/mulberrywalk/entry/filler.py
+++ b/mulberrywalk/entry/filler.py
@@ -1,4 +1,4 @@
-"""The fillers of one target, and what they were told about their pace."""
+"""Paces the fillers (best-effort attempts) of one target."""
 
 from __future__ import annotations
 
@@ -10,59 +10,63 @@
 
 
 class FillerPacer:
-    """Who fills and who serves on a target, and the orders that follow."""
+    """The attempts on a target and the pace last sent to each filler."""
 
     def __init__(self, shares: Iterable[wire.Share]) -> None:
-        """Start with what runs there by the leader's word."""
+        """Start with the attempts that the leader lists for the target."""
         self._shares = {one.attempt: one for one in shares}
         self._pacer = pacing.Pacer()
-        # What each filler was last told; nothing is known of those that an
-        # earlier entry has started, or that gave no answer.
-        self._told: dict[identity.AttemptId, int] = {}
+        # The percentage last sent to each filler; absent when an earlier
+        # entry started the filler or when the call got no reply.
+        self._sent_percent: dict[identity.AttemptId, int] = {}
 
     def add(self, start: wire.StartCommand) -> None:
-        """Take note of a start; its work begins at the whole pace."""
+        """Add an attempt that is being started; it starts at full speed."""
         self._shares[start.attempt] = wire.Share(
             start.attempt, start.latency_target_ms, start.is_filler
         )
-        self._told.setdefault(start.attempt, pacing.FULL_PERCENT)
+        self._sent_percent.setdefault(start.attempt, pacing.FULL_PERCENT)
 
     def forget(self, attempt: identity.AttemptId) -> None:
-        """Drop what has ended."""
+        """Remove an attempt that has ended."""
         self._shares.pop(attempt, None)
-        self._told.pop(attempt, None)
+        self._sent_percent.pop(attempt, None)
 
     def forget_pace(self, attempt: identity.AttemptId) -> None:
-        """Forget what a filler was told, for it may not have heard it."""
-        self._told.pop(attempt, None)
+        """Forget the pace of a filler that may not have received it."""
+        self._sent_percent.pop(attempt, None)
 
     def is_idle(self) -> bool:
-        """Return whether nothing is known to run."""
+        """Return whether no attempt is known on the target."""
         return not self._shares
 
     def has_filler(self) -> bool:
-        """Return whether there is any filler."""
+        """Return whether any attempt is a filler."""
         return any(one.is_filler for one in self._shares.values())
 
     def decide(
         self, running: Iterable[target_client.RunningAttempt], now: int
     ) -> list[tuple[identity.AttemptId, int]]:
-        """Return the fillers that have to be told a share, in percent."""
-        shared = [
+        """Return the fillers to send a new pace to, in percent.
+
+        now is a monotonic time in milliseconds.
+        """
+        known = [
             (one, self._shares[one.attempt])
             for one in running
             if one.attempt in self._shares
         ]
         readings = [
             pacing.LatencyReading(share.latency_target_ms, one.gauge)
-            for one, share in shared
+            for one, share in known
             if share.latency_target_ms
         ]
         percent = self._pacer.decide(readings, now)
         changed = [
             one.attempt
-            for one, share in shared
-            if share.is_filler and self._told.get(one.attempt) != percent
+            for one, share in known
+            if share.is_filler
+            and self._sent_percent.get(one.attempt) != percent
         ]
-        self._told.update(dict.fromkeys(changed, percent))
+        self._sent_percent.update(dict.fromkeys(changed, percent))
         return [(attempt, percent) for attempt in changed]
--- a/mulberrywalk/entry/http_api.py
+++ b/mulberrywalk/entry/http_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface of an entry, for callers and operators."""
+"""The HTTP API of an entry for callers and operators."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 
 MAX_BODY_BYTES = 4_194_304
 MAX_WAIT_S = 300.0
-_CALL_S = 10.0
-_CLIENT_ERROR = 400
+_CALL_TIMEOUT_S = 10.0
+_BAD_REQUEST = 400
 
 Body = TypeVar('Body')
 Endpoint = Callable[[requests.Request], Awaitable[responses.Response]]
@@ -28,7 +28,7 @@
 class ConfigurationPatch(
     msgspec.Struct, frozen=True, forbid_unknown_fields=True
 ):
-    """A JSON merge patch against a version of the configuration."""
+    """A JSON merge patch to a given version of the configuration."""
 
     request_id: job.Name
     version: Annotated[int, msgspec.Meta(ge=1, le=job.MAX_WHOLE)]
@@ -37,35 +37,35 @@
 
 @dataclasses.dataclass(slots=True)
 class ServingState:
-    """What the entry is doing, for readiness and a planned stop."""
+    """Whether the entry is draining, and its requests in progress."""
 
     is_draining: bool = False
     in_progress: int = 0
 
     def __enter__(self) -> None:
-        """Count a request that begins."""
+        """Count the start of a request."""
         self.in_progress += 1
 
     def __exit__(self, *_: object) -> None:
-        """Count a request that has ended."""
+        """Count the end of a request."""
         self.in_progress -= 1
 
 
 class HttpApi:
-    """Answers HTTP requests by calls to the leader."""
+    """Serves HTTP requests by calls to the leader."""
 
     def __init__(
         self,
         leader: upstream.Upstream,
         targets: connection.Connections,
-        lines: journal.Journal,
+        event_log: journal.Journal,
         metrics: metric.Metrics,
     ) -> None:
-        """Prepare; application returns what a server serves."""
+        """Set up the state; application returns the ASGI application."""
         self.serving_state = ServingState()
         self._leader = leader
         self._targets = targets
-        self._journal = lines
+        self._event_log = event_log
         self._metrics = metrics
 
     def application(self) -> applications.Starlette:
@@ -90,13 +90,13 @@
         return applications.Starlette(routes=routes)
 
     async def submit(self, request: requests.Request) -> responses.Response:
-        """Submit a job and, when asked to, wait for its end."""
+        """Submit a job and optionally wait for it to end."""
         encoded = await read_body(request)
-        seconds = parse_wait(request)
+        wait_s = parse_wait(request)
         if isinstance(encoded, http_response.InputError):
             return http_response.respond_error(encoded)
-        if isinstance(seconds, http_response.InputError):
-            return http_response.respond_error(seconds)
+        if isinstance(wait_s, http_response.InputError):
+            return http_response.respond_error(wait_s)
         specification = _decode_job(encoded)
         if isinstance(specification, http_response.InputError):
             return http_response.respond_error(specification)
@@ -108,29 +108,29 @@
             msgspec.json.encode(specification, order='sorted')
         ).hexdigest()
         submission = wire.Submit(specification, digest)
-        reply = await self._leader.propose(submission, _CALL_S)
+        reply = await self._leader.propose(submission, _CALL_TIMEOUT_S)
         if reply is None:
             return http_response.respond_unknown(specification.request_id)
-        told = reply[codec.TAG]
-        self._journal.record(
+        outcome = reply[codec.TAG]
+        self._event_log.record(
             'answered',
-            f'{specification.request_id} {told}',
+            f'{specification.request_id} {outcome}',
             job=reply.get('job', ''),
         )
-        self._metrics.incr(f'submit.{told}')
-        if seconds and told == 'accepted':
-            return await self._wait(reply, seconds)
+        self._metrics.incr(f'submit.{outcome}')
+        if wait_s and outcome == 'accepted':
+            return await self._wait(reply, wait_s)
         return http_response.respond(reply)
 
     async def get_job(self, request: requests.Request) -> responses.Response:
-        """Return a job; held until its end when asked to wait."""
-        seconds = parse_wait(request)
-        if isinstance(seconds, http_response.InputError):
-            return http_response.respond_error(seconds)
-        name = _job_of(request)
-        if seconds:
+        """Return a job, optionally after waiting for it to end."""
+        wait_s = parse_wait(request)
+        if isinstance(wait_s, http_response.InputError):
+            return http_response.respond_error(wait_s)
+        name = _job_id_of(request)
+        if wait_s:
             reply = await self._leader.call(
-                wire.GetJob(name, is_waiting=True), seconds
+                wire.GetJob(name, is_waiting=True), wait_s
             )
             if reply is not None:
                 return http_response.respond(reply)
@@ -138,18 +138,18 @@
 
     async def cancel(self, request: requests.Request) -> responses.Response:
         """Cancel a job."""
-        name = _job_of(request)
+        name = _job_id_of(request)
         return await self._ask(wire.Cancel(name), name)
 
     async def explain(self, request: requests.Request) -> responses.Response:
-        """Explain why a job waits or where it ran."""
-        name = _job_of(request)
+        """Explain why a job is waiting or where it ran."""
+        name = _job_id_of(request)
         return await self._ask(wire.Explain(name), name)
 
     async def get_configuration(
         self, _: requests.Request
     ) -> responses.Response:
-        """Return the configuration and its reach."""
+        """Return the configuration and the version that each process has."""
         return await self._ask(wire.GetConfiguration())
 
     async def patch_configuration(
@@ -174,7 +174,7 @@
         )
 
     async def get_members(self, _: requests.Request) -> responses.Response:
-        """Return replicas and entries."""
+        """Return the replicas and the entries."""
         return await self._ask(wire.GetMembers())
 
     async def list_targets(self, _: requests.Request) -> responses.Response:
@@ -184,17 +184,17 @@
     async def drain_target(
         self, request: requests.Request
     ) -> responses.Response:
-        """Let a target take no new work from now on."""
+        """Stop new work from being placed on a target."""
         name = identity.TargetId(request.path_params['target'])
         return await self._ask(wire.DrainTarget(name), name)
 
     async def get_timeline(
         self, request: requests.Request
     ) -> responses.Response:
-        """Return the merged lines of this entry and of all replicas."""
+        """Return the merged timeline of this entry and all replicas."""
         try:
             with reading.refused_as():
-                wanted = msgspec.convert(
+                line_filter = msgspec.convert(
                     dict(request.query_params),
                     type=journal.Filter,
                     strict=False,
@@ -203,10 +203,10 @@
             return http_response.respond_error(
                 http_response.decoding_error(error)
             )
-        collected = self._journal.find(wanted)
+        collected = self._event_log.find(line_filter)
         unreachable: list[str] = []
         for address in self._leader.addresses.all():
-            lines = await _ask_timeline(address, wanted)
+            lines = await _ask_timeline(address, line_filter)
             if lines is None:
                 unreachable.append(address)
             else:
@@ -220,7 +220,7 @@
         )
 
     async def get_health(self, _: requests.Request) -> responses.Response:
-        """Return that the process runs, and what it carries."""
+        """Return liveness and the number of targets and requests."""
         return http_response.respond_plain(
             {
                 'status': 'up',
@@ -230,7 +230,7 @@
         )
 
     async def get_readiness(self, _: requests.Request) -> responses.Response:
-        """Return whether the balancer should send requests here."""
+        """Return whether a load balancer should send requests here."""
         if self.serving_state.is_draining:
             return http_response.respond_not_ready('this entry is stopping')
         if not self._leader.is_current():
@@ -240,7 +240,7 @@
         return http_response.respond_plain({'status': 'ready'})
 
     async def accept_target(self, socket: websockets.WebSocket) -> None:
-        """Serve a target."""
+        """Serve a target over its WebSocket."""
         await self._targets.accept(socket)
 
     def _route(
@@ -253,18 +253,18 @@
         return routing.Route(path, serve, methods=[method])
 
     async def _wait(
-        self, accepted: dict[str, Any], seconds: float
+        self, accepted: dict[str, Any], wait_s: float
     ) -> responses.Response:
         name = identity.JobId(accepted['job'])
         reply = await self._leader.call(
-            wire.GetJob(name, is_waiting=True), seconds
+            wire.GetJob(name, is_waiting=True), wait_s
         )
         return http_response.respond(accepted if reply is None else reply)
 
     async def _ask(
         self, request: wire.Request, request_id: str = ''
     ) -> responses.Response:
-        reply = await self._leader.propose(request, _CALL_S)
+        reply = await self._leader.propose(request, _CALL_TIMEOUT_S)
         if reply is None:
             return http_response.respond_unknown(request_id)
         return http_response.respond(reply)
@@ -273,7 +273,7 @@
 async def read_body(
     request: requests.Request,
 ) -> bytes | http_response.InputError:
-    """Return the body of a request, or the error when it is too large."""
+    """Return the request body, or an error when it is too large."""
     chunks: list[bytes] = []
     size = 0
     async for chunk in request.stream():
@@ -284,11 +284,13 @@
     return b''.join(chunks)
 
 
-def decode(encoded: bytes, kind: type[Body]) -> Body | http_response.InputError:
-    """Return a decoded body, or the error that names the field."""
+def decode(
+    encoded: bytes, body_type: type[Body]
+) -> Body | http_response.InputError:
+    """Return the decoded body, or an error naming the invalid field."""
     try:
         with reading.refused_as():
-            return msgspec.json.decode(encoded, type=kind)
+            return msgspec.json.decode(encoded, type=body_type)
     except reading.UnreadableError as error:
         return http_response.decoding_error(error)
 
@@ -301,7 +303,7 @@
         return patch
     fault = reading.find_fault(patch.changes)
     if fault:
-        return http_response.InputError(_CLIENT_ERROR, 'changes', fault)
+        return http_response.InputError(_BAD_REQUEST, 'changes', fault)
     return patch
 
 
@@ -311,30 +313,30 @@
         return specification
     fault = workflow.find_fault(specification)
     if fault is not None:
-        return http_response.InputError(_CLIENT_ERROR, *fault)
+        return http_response.InputError(_BAD_REQUEST, *fault)
     return specification
 
 
 def parse_wait(request: requests.Request) -> float | http_response.InputError:
-    """Return the seconds to wait, zero for none, or the error."""
+    """Return the wait in seconds (zero for none), or an error."""
     text = request.query_params.get('wait', '0')
     try:
-        seconds = float(text)
+        wait_s = float(text)
     except ValueError:
-        seconds = -1
-    if 0 <= seconds <= MAX_WAIT_S:
-        return seconds
+        wait_s = -1
+    if 0 <= wait_s <= MAX_WAIT_S:
+        return wait_s
     return http_response.InputError(
-        _CLIENT_ERROR,
+        _BAD_REQUEST,
         'wait',
         f'{text!r} is not a number of seconds from 0 to {MAX_WAIT_S:.0f}',
     )
 
 
 async def _ask_timeline(
-    address: str, wanted: journal.Filter
+    address: str, line_filter: journal.Filter
 ) -> tuple[journal.Line, ...] | None:
-    encoded = msgspec.msgpack.encode(wire.TimelineRequest(wanted))
+    encoded = msgspec.msgpack.encode(wire.TimelineRequest(line_filter))
     try:
         with anyio.fail_after(channel.SILENCE_S):
             reply = await channel.ask(
@@ -345,5 +347,5 @@
     return reply.lines
 
 
-def _job_of(request: requests.Request) -> identity.JobId:
+def _job_id_of(request: requests.Request) -> identity.JobId:
     return identity.JobId(request.path_params['job'])
--- a/mulberrywalk/entry/http_api_test.py
+++ b/mulberrywalk/entry/http_api_test.py
@@ -1,4 +1,4 @@
-"""Callers' input is checked and outcomes become responses."""
+"""Tests for input validation and the mapping of outcomes to responses."""
 
 import json
 from types import MappingProxyType
@@ -23,29 +23,29 @@
     """Answers every call with the same reply."""
 
     def __init__(self, reply, *, is_ready=True):
-        lines = journal.Journal(journal.Origin('e', 'd'))
-        super().__init__(('a:1',), lines, cost.Meter())
+        event_log = journal.Journal(journal.Origin('e', 'd'))
+        super().__init__(('a:1',), event_log, cost.Meter())
         self.reply = reply
         self.is_ready = is_ready
-        self.asked = []
+        self.requests = []
 
     def is_current(self):
         return self.is_ready
 
     async def call(self, request, seconds):
-        self.asked.append(request)
+        self.requests.append(request)
         return self.reply
 
     async def propose(self, request, seconds):
         return await self.call(request, seconds)
 
 
-def client_of(leader):
-    lines = journal.Journal(journal.Origin('e', 'd'))
+def client_for(leader):
+    event_log = journal.Journal(journal.Origin('e', 'd'))
     sessions = session.Sessions(leader)
-    targets = connection.Connections(leader, sessions, lines)
-    interface = http_api.HttpApi(leader, targets, lines, metric.NoMetrics())
-    return testclient.TestClient(interface.application())
+    targets = connection.Connections(leader, sessions, event_log)
+    api = http_api.HttpApi(leader, targets, event_log, metric.NoMetrics())
+    return testclient.TestClient(api.application())
 
 
 @pytest.mark.parametrize(
@@ -59,28 +59,28 @@
         ({'surplus': 1}, ''),
     ],
 )
-def test_submit_names_the_wrong_field(changes, field):
+def test_submit_names_the_invalid_field(changes, field):
     leader = FakeLeader({'outcome': 'accepted', 'job': 'j1'})
-    answered = client_of(leader).post('/v1/jobs', json={**JOB, **changes})
-    assert answered.status_code == 400
-    assert answered.json()['field'].startswith(field)
-    assert not leader.asked
+    response = client_for(leader).post('/v1/jobs', json={**JOB, **changes})
+    assert response.status_code == 400
+    assert response.json()['field'].startswith(field)
+    assert not leader.requests
 
 
 def test_submit_refuses_a_large_body():
     leader = FakeLeader({'outcome': 'accepted', 'job': 'j1'})
     body = b' ' * (http_api.MAX_BODY_BYTES + 1)
-    answered = client_of(leader).post('/v1/jobs', content=body)
-    assert answered.status_code == 413
-    assert not leader.asked
+    response = client_for(leader).post('/v1/jobs', content=body)
+    assert response.status_code == 413
+    assert not leader.requests
 
 
-def test_submit_takes_nothing_while_not_current():
+def test_submit_is_unavailable_without_a_current_configuration():
     leader = FakeLeader(None, is_ready=False)
-    answered = client_of(leader).post('/v1/jobs', json=dict(JOB))
-    assert answered.status_code == 503
-    assert answered.json()['outcome'] == 'unavailable'
-    assert not leader.asked
+    response = client_for(leader).post('/v1/jobs', json=dict(JOB))
+    assert response.status_code == 503
+    assert response.json()['outcome'] == 'unavailable'
+    assert not leader.requests
 
 
 @pytest.mark.parametrize(
@@ -92,20 +92,20 @@
         (None, 504),
     ],
 )
-def test_submit_answers_by_outcome(reply, status):
-    answered = client_of(FakeLeader(reply)).post('/v1/jobs', json=dict(JOB))
-    assert answered.status_code == status
+def test_submit_maps_outcomes_to_status_codes(reply, status):
+    response = client_for(FakeLeader(reply)).post('/v1/jobs', json=dict(JOB))
+    assert response.status_code == status
 
 
-def test_unknown_names_the_request():
-    answered = json.loads(http_response.respond_unknown('r1').body)
-    assert answered['request_id'] == 'r1'
+def test_unknown_outcome_names_the_request():
+    response = json.loads(http_response.respond_unknown('r1').body)
+    assert response['request_id'] == 'r1'
 
 
 def test_wait_must_be_a_number():
     leader = FakeLeader({'outcome': 'accepted', 'job': 'j1'})
-    answered = client_of(leader).post('/v1/jobs?wait=soon', json=dict(JOB))
-    assert answered.json()['field'] == 'wait'
+    response = client_for(leader).post('/v1/jobs?wait=soon', json=dict(JOB))
+    assert response.json()['field'] == 'wait'
 
 
 @pytest.mark.parametrize(
@@ -118,15 +118,15 @@
         },
     ],
 )
-def test_job_that_no_message_can_carry_is_not_handed_on(steps):
+def test_job_with_unencodable_numbers_is_refused(steps):
     leader = FakeLeader({'outcome': 'accepted', 'job': 'j1'})
     body = {**JOB, 'kind': 'workflow', 'tasks': [], **steps}
-    answered = client_of(leader).post('/v1/jobs', json=body)
-    assert answered.status_code == 400
-    assert not leader.asked
+    response = client_for(leader).post('/v1/jobs', json=body)
+    assert response.status_code == 400
+    assert not leader.requests
 
 
-DEEP = '[' * 100_000 + ']' * 100_000
+DEEPLY_NESTED = '[' * 100_000 + ']' * 100_000
 PATCH = MappingProxyType({'request_id': 'r1', 'version': 1, 'changes': {}})
 
 
@@ -143,10 +143,10 @@
 )
 def test_deeply_nested_body_is_refused(method, path, fields):
     leader = FakeLeader({'outcome': 'accepted', 'job': 'j1'})
-    body = f'{json.dumps(dict(fields))[:-1]}, "other": {DEEP}}}'
-    answered = client_of(leader).request(method, path, content=body)
-    assert answered.status_code == 400
-    assert not leader.asked
+    body = f'{json.dumps(dict(fields))[:-1]}, "other": {DEEPLY_NESTED}}}'
+    response = client_for(leader).request(method, path, content=body)
+    assert response.status_code == 400
+    assert not leader.requests
 
 
 @pytest.mark.parametrize(
@@ -161,24 +161,24 @@
         {'changes': {'teams': nested(90)}},
     ],
 )
-def test_patch_that_no_message_can_carry_is_refused(changes):
+def test_patch_that_cannot_be_encoded_is_refused(changes):
     leader = FakeLeader({'outcome': 'patch_accepted', 'version': 2})
     body = {**PATCH, **changes}
-    answered = client_of(leader).patch('/v1/configuration', json=body)
-    assert answered.status_code == 400
-    assert not leader.asked
+    response = client_for(leader).patch('/v1/configuration', json=body)
+    assert response.status_code == 400
+    assert not leader.requests
 
 
-def test_patch_of_a_team_is_handed_on():
+def test_patch_of_a_team_is_forwarded_to_the_leader():
     leader = FakeLeader({'outcome': 'patch_accepted', 'version': 2})
     changes = {'teams': {'a': {'weight': 7}}, 'max_losses': None}
     body = {**PATCH, 'changes': changes}
-    answered = client_of(leader).patch('/v1/configuration', json=body)
-    assert answered.status_code == 200
-    assert leader.asked[0].changes == changes
+    response = client_for(leader).patch('/v1/configuration', json=body)
+    assert response.status_code == 200
+    assert leader.requests[0].changes == changes
 
 
 @pytest.mark.parametrize('query', [f'since={10**40}', 'since=x', 'until=1e400'])
-def test_timeline_at_a_time_that_never_comes_is_refused(query):
-    answered = client_of(FakeLeader(None)).get(f'/v1/timeline?{query}')
-    assert answered.status_code == 400
+def test_timeline_with_an_invalid_time_is_refused(query):
+    response = client_for(FakeLeader(None)).get(f'/v1/timeline?{query}')
+    assert response.status_code == 400
--- a/mulberrywalk/entry/http_response.py
+++ b/mulberrywalk/entry/http_response.py
@@ -14,17 +14,17 @@
 from ..core import outcome
 from ..transport import codec
 
-_FIELD = re.compile(r'`\$\.?([^`]*)`')
+_FIELD_PATH = re.compile(r'`\$\.?([^`]*)`')
 _MS_PER_S = 1000
 _OK = 200
-_UNKNOWN = 504
-_TOO_LARGE = 413
+_GATEWAY_TIMEOUT = 504
+_CONTENT_TOO_LARGE = 413
 _BAD_REQUEST = 400
 
-_REFUSALS: MappingProxyType[str, int] = MappingProxyType(
+_REFUSAL_STATUSES: MappingProxyType[str, int] = MappingProxyType(
     {
         outcome.RefusalReason.QUEUE_FULL.value: 429,
-        outcome.RefusalReason.TOO_LARGE.value: _TOO_LARGE,
+        outcome.RefusalReason.TOO_LARGE.value: _CONTENT_TOO_LARGE,
         outcome.RefusalReason.REQUEST_REUSED.value: 409,
         outcome.RefusalReason.STALE_VERSION.value: 409,
         outcome.RefusalReason.INVALID_PATCH.value: 422,
@@ -34,7 +34,7 @@
         outcome.RefusalReason.SESSION_GONE.value: 410,
     }
 )
-_STATUSES: MappingProxyType[str, int] = MappingProxyType(
+_OUTCOME_STATUSES: MappingProxyType[str, int] = MappingProxyType(
     {
         'accepted': 202,
         'cancelled': 202,
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InputError:
-    """A request that cannot be understood; field is a path within it."""
+    """An invalid request; field is the path of the invalid field."""
 
     status: int
     field: str
@@ -52,20 +52,20 @@
 
 
 def decoding_error(error: Exception) -> InputError:
-    """Return what is wrong with a body that could not be decoded."""
+    """Return the input error for a body that could not be decoded."""
     message = str(error)
-    found = _FIELD.search(message)
-    field = found.group(1) if found else ''
+    match = _FIELD_PATH.search(message)
+    field = match.group(1) if match else ''
     return InputError(_BAD_REQUEST, field, message)
 
 
 def body_too_large(limit: int) -> InputError:
-    """Return the error for a body over the limit in bytes."""
-    return InputError(_TOO_LARGE, '', f'the body exceeds {limit} bytes')
+    """Return the error for a body larger than limit bytes."""
+    return InputError(_CONTENT_TOO_LARGE, '', f'the body exceeds {limit} bytes')
 
 
 def respond_error(error: InputError) -> responses.Response:
-    """Return the response for a request that was not understood."""
+    """Return the response for an invalid request."""
     body = {
         codec.TAG: 'invalid_request',
         'field': error.field,
@@ -75,13 +75,13 @@
 
 
 def respond(body: dict[str, Any]) -> responses.Response:
-    """Return the response for a reply of the leader."""
+    """Return the response for a reply from the leader."""
     tag = body[codec.TAG]
     headers: dict[str, str] = {}
-    status = _STATUSES.get(tag, _OK)
+    status = _OUTCOME_STATUSES.get(tag, _OK)
     reason = body.get('reason', '')
     if reason:
-        status = _REFUSALS.get(reason, _BAD_REQUEST)
+        status = _REFUSAL_STATUSES.get(reason, _BAD_REQUEST)
     retry_after_ms = body.get('retry_after_ms', 0)
     if retry_after_ms:
         seconds = math.ceil(retry_after_ms / _MS_PER_S)
@@ -90,17 +90,17 @@
 
 
 def respond_unknown(request_id: str) -> responses.Response:
-    """Return the response when no answer came in time."""
+    """Return the response for a request whose outcome is unknown."""
     body = {
         codec.TAG: 'unknown',
         'request_id': request_id,
         'message': 'no answer in time: ask again with the same request id',
     }
-    return _json(_UNKNOWN, body)
+    return _json(_GATEWAY_TIMEOUT, body)
 
 
 def respond_not_ready(detail: str) -> responses.Response:
-    """Return the response of an entry that takes no new work."""
+    """Return the response of an entry that accepts no new work."""
     refusal = outcome.Unavailable(
         outcome.RefusalReason.NOT_READY, detail, _MS_PER_S
     )
@@ -110,7 +110,7 @@
 def respond_plain(
     body: dict[str, Any], status: int = _OK
 ) -> responses.Response:
-    """Return a response that carries no outcome."""
+    """Return a JSON response that carries no outcome."""
     return _json(status, body)
 
 
--- a/mulberrywalk/entry/pacing.py
+++ b/mulberrywalk/entry/pacing.py
@@ -1,9 +1,9 @@
-"""How fast the fillers of a target may work beside tasks that serve users.
+"""Controls the speed of fillers beside latency-sensitive tasks.
 
-The load that this answers: fillers that take what serving tasks leave unused
-and disturb them by amounts that change within seconds. The share falls fast
-while a serving task is slow, and grows slowly again; between the two marks
-it stays, so that it does not swing.
+Fillers use the capacity that serving tasks leave idle, and their interference
+with these tasks changes within seconds. The share of the fillers falls fast
+while a serving task is slow and recovers slowly. Between the two thresholds it
+stays unchanged, so that it does not oscillate.
 """
 
 from __future__ import annotations
@@ -11,17 +11,19 @@
 import dataclasses
 
 FULL_PERCENT = 100
-# Parts of a latency target, in percent, between which a share stays.
-_SLOW_PERCENT = 70
-_FAST_PERCENT = 45
-_RAISE_AFTER_MS = 1500
-_RAISE_BY = 15
-_LEAST_STEP = 10
+# Latency as a percentage of the latency target: at or above the first value the
+# share is lowered, at or below the second it is raised, in between it is kept.
+_LOWER_AT_PERCENT = 70
+_RAISE_AT_PERCENT = 45
+_RAISE_INTERVAL_MS = 1500
+_RAISE_STEP_PERCENT = 15
+# A share at or below this falls to zero instead of being halved.
+_MIN_SHARE_PERCENT = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LatencyReading:
-    """The tail of a serving task's response times, in milliseconds."""
+    """The tail latency of a serving task and its target, in milliseconds."""
 
     latency_target_ms: int
     latency_ms: int
@@ -29,13 +31,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Pacer:
-    """The share of the fillers on one target, in percent."""
+    """Controls the share of the fillers on one target, in percent.
+
+    low_pressure_since is a monotonic time in milliseconds.
+    """
 
     share: int = FULL_PERCENT
     low_pressure_since: int | None = None
 
     def decide(self, readings: list[LatencyReading], now: int) -> int:
-        """Return the share of the fillers after a look at the target."""
+        """Update and return the share, given the readings of a poll."""
         pressure = max(
             (
                 one.latency_ms * FULL_PERCENT // one.latency_target_ms
@@ -43,20 +48,20 @@
             ),
             default=0,
         )
-        if pressure >= _SLOW_PERCENT:
+        if pressure >= _LOWER_AT_PERCENT:
             self.low_pressure_since = None
             self.share = _lower(self.share, pressure)
-        elif pressure > _FAST_PERCENT:
+        elif pressure > _RAISE_AT_PERCENT:
             self.low_pressure_since = None
         elif self.low_pressure_since is None:
             self.low_pressure_since = now
-        elif now - self.low_pressure_since >= _RAISE_AFTER_MS:
+        elif now - self.low_pressure_since >= _RAISE_INTERVAL_MS:
             self.low_pressure_since = now
-            self.share = min(FULL_PERCENT, self.share + _RAISE_BY)
+            self.share = min(FULL_PERCENT, self.share + _RAISE_STEP_PERCENT)
         return self.share
 
 
 def _lower(share: int, pressure: int) -> int:
-    if pressure >= FULL_PERCENT or share <= _LEAST_STEP:
+    if pressure >= FULL_PERCENT or share <= _MIN_SHARE_PERCENT:
         return 0
     return share // 2
--- a/mulberrywalk/entry/pending.py
+++ b/mulberrywalk/entry/pending.py
@@ -1,4 +1,4 @@
-"""Calls to the leader that were not answered yet."""
+"""Pending calls to the leader."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingCall:
-    """A call that was not answered yet; sent again to each new leader.
+    """A call without a reply yet; it is resent to each new leader.
 
-    Once is_sent, a replica may have taken it, whatever comes back.
+    Once is_sent is set, a replica may have processed the call.
     """
 
     message: wire.Call
@@ -33,10 +33,10 @@
     done: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
     def reply_or_refusal(self) -> dict[str, Any] | None:
-        """Return the reply, or a refusal when the call never left here.
+        """Return the reply, or a refusal when the call was never sent.
 
-        A call that was not sent has surely not been taken: its caller may
-        come back. None tells that it may have been.
+        A call that was not sent has not been processed, so its caller may
+        safely retry. None means that it may have been processed.
         """
         if self.body is None and not self.is_sent:
             return codec.to_builtins(_NEVER_SENT)
@@ -44,16 +44,16 @@
 
 
 class PendingCalls:
-    """All calls that wait for their replies, by ticket."""
+    """All calls that await a reply, by ticket."""
 
     def __init__(self) -> None:
-        """Start without calls."""
+        """Start with no calls."""
         self._calls: dict[int, PendingCall] = {}
         self._tickets = itertools.count(1)
 
     @contextlib.contextmanager
     def open(self, request: wire.Request) -> Iterator[PendingCall]:
-        """Keep a call for as long as its caller waits."""
+        """Register a call for as long as its caller waits."""
         ticket = next(self._tickets)
         pending = PendingCall(wire.Call(ticket, request))
         self._calls[ticket] = pending
@@ -63,11 +63,14 @@
             self._calls.pop(ticket)
 
     def unanswered(self) -> list[wire.Call]:
-        """Return what a new leader has to be asked."""
+        """Return the calls to resend to a new leader."""
         return [pending.message for pending in self._calls.values()]
 
     def mark_sent(self, message: wire.FromEntry) -> bool:
-        """Return whether to send a message: not a call that was given up."""
+        """Return whether to send a message, and mark a call as sent.
+
+        A call whose caller no longer waits is not sent.
+        """
         if not isinstance(message, wire.Call):
             return True
         pending = self._calls.get(message.ticket)
@@ -77,7 +80,7 @@
         return True
 
     def complete(self, reply: wire.Reply) -> None:
-        """Hand a reply to its caller, if that still waits."""
+        """Deliver a reply to its caller, if it is still waiting."""
         pending = self._calls.get(reply.ticket)
         if pending is not None:
             pending.body = reply.body
--- a/mulberrywalk/entry/polled.py
+++ b/mulberrywalk/entry/polled.py
@@ -1,8 +1,8 @@
-"""Sessions of targets that are called, instead of dialling in.
+"""Sessions of polled targets, which this entry calls.
 
-Orders go out as calls. What runs and what has ended is learned by looks,
-which also extend the lease. A call that got no answer may have been carried
-out, or may be later; only a look tells.
+Commands are sent as calls. Polls show which attempts run and which have ended,
+and extend the lease. A call without a reply may have taken effect or may still
+do so; only a poll shows which.
 """
 
 from __future__ import annotations
@@ -18,22 +18,22 @@
 from . import filler, reporting, session, target_client, upstream
 
 _MS_PER_S = 1000
-# A start is sent only with so much of the lease left.
-_LEAST_LEASE_MS = 300
-_LOOK_MS = 500
-_IDLE_LOOK_MS = 1000
-# How often an order without an answer is given before the leader is left to
-# give it again.
-_TRIES = 3
-_PACED_LOOK_MS = 400
-_UNANSWERED_S = 0.2
-_SETTLE_S = 0.3
-_GATHER_S = 0.004
-_READY_S = 1.5
-_CALLS_AT_ONCE = 16
-
-
-# Answers after which the attempt is barred and then known not to run.
+# A start is sent only if at least this much of the lease remains.
+_MIN_LEASE_MS = 300
+_POLL_WAIT_MS = 500
+_IDLE_POLL_WAIT_MS = 1000
+# Calls made for one command that gets no reply; then the leader resends it.
+_MAX_TRIES = 3
+_PACED_POLL_WAIT_MS = 400
+_FAILED_POLL_DELAY_S = 0.2
+_COMMIT_TIMEOUT_S = 0.3
+_BATCH_DELAY_S = 0.004
+_FIRST_LEASE_TIMEOUT_S = 1.5
+_MAX_CONCURRENT_CALLS = 16
+
+
+# Results of a start after which the attempt is stopped, so that a delayed copy
+# of the start cannot run it.
 _REFUSALS = frozenset(
     (
         target_client.CallResult.NO_CAPACITY,
@@ -45,267 +45,269 @@
 
 
 class PolledSession(session.TargetSession):
-    """The session of one target that this entry calls."""
+    """The session of one target that this entry polls."""
 
     def __init__(
         self,
         assigned: wire.Assignment,
-        caller: target_client.TargetClient,
+        client: target_client.TargetClient,
         leader: upstream.Upstream,
         sessions: session.Sessions,
-        lines: journal.Journal,
+        event_log: journal.Journal,
     ) -> None:
-        """Prepare; run makes the looks."""
+        """Set up the state; run polls the target."""
         self.assigned = assigned
         self._destination = target_client.Destination(
             assigned.target, assigned.address
         )
-        self._caller = caller
+        self._client = client
         self._leader = leader
         self._sessions = sessions
-        self._journal = lines
+        self._event_log = event_log
         self._lease = target_client.Lease(assigned.lease_ms)
         self._term = assigned.term
-        self._ready = anyio.Event()
-        self._settled = anyio.Event()
-        self._limit = anyio.CapacityLimiter(_CALLS_AT_ONCE)
+        self._lease_granted = anyio.Event()
+        self._committed = anyio.Event()
+        self._call_limit = anyio.CapacityLimiter(_MAX_CONCURRENT_CALLS)
         self._group: TaskGroup | None = None
-        self._fillers = filler.FillerPacer(assigned.shares)
-        self._listing = reporting.ReportBuilder(assigned.session)
-        # Orders that came with the assignment, before the session runs.
-        self._early: list[wire.Commands] = []
-        self._is_over = False
+        self._pacer = filler.FillerPacer(assigned.shares)
+        self._reports = reporting.ReportBuilder(assigned.session)
+        # Commands received with the assignment, before the session runs.
+        self._early_commands: list[wire.Commands] = []
+        self._has_ended = False
 
     def is_polled(self) -> bool:
-        """Return that this entry calls the target."""
+        """Return True, as this entry polls the target."""
         return True
 
     def update_assignment(self, assigned: wire.Assignment) -> None:
-        """Call the target for a later leader.
+        """Continue the session under a new leader.
 
-        What was reported to the earlier one may not have been committed, so
-        all of it is reported again. The lease that was granted holds.
+        Reports to the previous leader may not have been committed, so all of
+        them are sent again. The granted lease stays valid.
         """
         self.assigned = assigned
         self._term = assigned.term
-        self._fillers = filler.FillerPacer(assigned.shares)
-        self._listing.reset_reports()
+        self._pacer = filler.FillerPacer(assigned.shares)
+        self._reports.reset_reports()
 
     async def run(self) -> None:
-        """Look at the target until the session is over."""
-        if self._is_over:
+        """Poll the target until the session ends."""
+        if self._has_ended:
             return
         with contextlib.ExitStack() as stack:
-            # No order is taken once there is no group to carry it out.
-            stack.callback(setattr, self, '_is_over', True)
+            # No command is accepted once there is no task group to run it.
+            stack.callback(setattr, self, '_has_ended', True)
             async with anyio.create_task_group() as group:
                 self._group = group
-                for commands in self._early:
+                for commands in self._early_commands:
                     self.command(commands)
-                await self._look_on()
+                await self._poll_loop()
 
     def command(self, commands: wire.Commands) -> None:
-        """Carry out what the leader wants, each order by a call."""
-        if self._is_over or commands.term < self._term:
+        """Send each of the leader's commands as a call."""
+        if self._has_ended or commands.term < self._term:
             return
         if self._group is None:
-            self._early.append(commands)
+            self._early_commands.append(commands)
             return
         self._term = commands.term
         for start in commands.start:
-            self._fillers.add(start)
+            self._pacer.add(start)
             self._group.start_soon(self._start, start, commands.term)
         for stop in commands.stop:
             self._group.start_soon(self._stop, stop.attempt, commands.term)
-        self._listing.ends.acknowledge(commands.acknowledge)
-        if commands.acknowledge and self._listing.ends.is_acknowledged():
-            self._settled.set()
+        self._reports.ends.acknowledge(commands.acknowledge)
+        if commands.acknowledge and self._reports.ends.is_acknowledged():
+            self._committed.set()
 
     def renew(self, sequence: int) -> None:
-        """Count the lease from when the answered renewal was asked for."""
+        """Start the lease at the time when its renewal was requested."""
         self._lease.granted_from = max(
             sequence, self._lease.granted_from or sequence
         )
-        self._ready.set()
+        self._lease_granted.set()
 
     def end(self) -> None:
-        """Make no more calls."""
+        """End the session and cancel its calls."""
         self._sessions.remove(self.assigned.session, self)
-        self._is_over = True
+        self._has_ended = True
         if self._group is not None:
             self._group.cancel_scope.cancel()
 
     def relocate(self) -> None:
-        """Go on until the leader has given the target to another entry."""
+        """Do nothing: poll until the leader reassigns the target."""
 
-    async def _look_on(self) -> None:
+    async def _poll_loop(self) -> None:
         wait_ms = 0
         while True:
-            is_seen = await self._look(wait_ms)
-            if not is_seen:
-                await anyio.sleep(_UNANSWERED_S)
-            elif not self._listing.ends.is_acknowledged():
-                await self._settle()
+            has_result = await self._poll(wait_ms)
+            if not has_result:
+                await anyio.sleep(_FAILED_POLL_DELAY_S)
+            elif not self._reports.ends.is_acknowledged():
+                await self._wait_for_commit()
             wait_ms = self._next_wait()
 
     def _next_wait(self) -> int:
         if self._lease.granted_from is None:
             return 0
-        if self._fillers.is_idle():
-            return _IDLE_LOOK_MS
-        return _PACED_LOOK_MS if self._fillers.has_filler() else _LOOK_MS
-
-    async def _settle(self) -> None:
-        """Wait until the ends that were seen are committed, or for long."""
-        self._settled = anyio.Event()
-        with anyio.move_on_after(_SETTLE_S):
-            await self._settled.wait()
-        await anyio.sleep(_GATHER_S)
-
-    async def _look(self, wait_ms: int) -> bool:
-        barred = self._listing.snapshot_barred()
+        if self._pacer.is_idle():
+            return _IDLE_POLL_WAIT_MS
+        return (
+            _PACED_POLL_WAIT_MS if self._pacer.has_filler() else _POLL_WAIT_MS
+        )
+
+    async def _wait_for_commit(self) -> None:
+        """Wait for the listed ends to be committed, up to a timeout."""
+        self._committed = anyio.Event()
+        with anyio.move_on_after(_COMMIT_TIMEOUT_S):
+            await self._committed.wait()
+        await anyio.sleep(_BATCH_DELAY_S)
+
+    async def _poll(self, wait_ms: int) -> bool:
+        barred = self._reports.snapshot_barred()
         sent_at = clock.monotonic_ms()
-        glance = target_client.PollRequest(
+        request = target_client.PollRequest(
             self._term,
             self._lease.expires_at(),
-            self._listing.ends.acknowledged,
+            self._reports.ends.acknowledged,
             wait_ms,
         )
-        seen = await self._caller.poll(self._destination, glance)
-        if isinstance(seen, target_client.CallResult):
-            self._note(f'look: {seen.value}')
-            if seen is target_client.CallResult.FENCED:
-                # The entry that a later leader has chosen calls the target.
+        poll_result = await self._client.poll(self._destination, request)
+        if isinstance(poll_result, target_client.CallResult):
+            self._log(f'look: {poll_result.value}')
+            if poll_result is target_client.CallResult.FENCED:
+                # The entry that a later leader has assigned polls the target.
                 self.end()
             return False
-        if seen.born_at != self.assigned.born_at:
-            self._journal.record(
-                'look: another life',
-                f'of {seen.born_at}',
+        if poll_result.born_at != self.assigned.born_at:
+            self._event_log.record(
+                'look: other incarnation',
+                f'born at {poll_result.born_at}',
                 target=self._destination.target,
             )
             return False
-        self._lease.sample_clock(seen.clock_ms, clock.monotonic_ms())
+        self._lease.sample_clock(poll_result.clock_ms, clock.monotonic_ms())
         self._sessions.request_renewal(self.assigned.session, sent_at)
-        self._report(seen, barred)
-        self._pace(seen)
+        self._report(poll_result, barred)
+        self._update_pace(poll_result)
         return True
 
     def _report(
         self,
-        seen: target_client.PollResult,
+        poll_result: target_client.PollResult,
         barred: dict[identity.AttemptId, target_client.CallResult],
     ) -> None:
-        report = self._listing.build(seen, barred, clock.monotonic_ms())
-        for listed in seen.ended:
-            self._fillers.forget(listed.attempt)
+        report = self._reports.build(poll_result, barred, clock.monotonic_ms())
+        for listed in poll_result.ended:
+            self._pacer.forget(listed.attempt)
         if report is None:
             return
         for ended in report.ended:
-            self._fillers.forget(ended.attempt)
+            self._pacer.forget(ended.attempt)
         self._leader.send(report)
 
     async def _start(self, command: wire.StartCommand, term: int) -> None:
-        with anyio.move_on_after(_READY_S):
-            await self._ready.wait()
-        answer = target_client.CallResult.NO_REPLY
-        for _ in range(_TRIES):
-            until = self._lease.expires_at()
-            left_ms = self._lease.remaining_ms(clock.monotonic_ms())
-            if until is None or left_ms < _LEAST_LEASE_MS:
-                # The leader sends the start again.
-                self._note('start held: no lease', command.attempt)
+        with anyio.move_on_after(_FIRST_LEASE_TIMEOUT_S):
+            await self._lease_granted.wait()
+        call_result = target_client.CallResult.NO_REPLY
+        for _ in range(_MAX_TRIES):
+            lease_until_ms = self._lease.expires_at()
+            remaining_ms = self._lease.remaining_ms(clock.monotonic_ms())
+            if lease_until_ms is None or remaining_ms < _MIN_LEASE_MS:
+                # The leader resends the start.
+                self._log('start delayed: no valid lease', command.attempt)
                 return
-            async with self._limit:
-                answer = await self._caller.start(
-                    self._destination, command, until, term
+            async with self._call_limit:
+                call_result = await self._client.start(
+                    self._destination, command, lease_until_ms, term
                 )
-            self._note(f'start: {answer.value}', command.attempt)
-            if answer is not target_client.CallResult.NO_REPLY:
+            self._log(f'start: {call_result.value}', command.attempt)
+            if call_result is not target_client.CallResult.NO_REPLY:
                 break
-        await self._take_answer(command, answer, term)
+        await self._handle_start_result(command, call_result, term)
 
-    async def _take_answer(
+    async def _handle_start_result(
         self,
         command: wire.StartCommand,
-        answer: target_client.CallResult,
+        call_result: target_client.CallResult,
         term: int,
     ) -> None:
-        if answer is target_client.CallResult.DONE:
+        if call_result is target_client.CallResult.DONE:
             self._confirm(command.attempt)
-        elif answer is target_client.CallResult.BARRED:
-            self._note_barred(command.attempt, answer)
-        elif answer in _REFUSALS:
-            await self._refuse(command.attempt, answer, term)
+        elif call_result is target_client.CallResult.BARRED:
+            self._add_barred(command.attempt, call_result)
+        elif call_result in _REFUSALS:
+            await self._bar_refused(command.attempt, call_result, term)
 
     def _confirm(self, attempt: identity.AttemptId) -> None:
-        self._listing.confirm(attempt)
+        self._reports.confirm(attempt)
         started = event.AttemptStart(attempt, clock.monotonic_ms())
         self._leader.send(
             wire.Report(self.assigned.session, started=(started,))
         )
 
-    async def _refuse(
+    async def _bar_refused(
         self,
         attempt: identity.AttemptId,
-        answer: target_client.CallResult,
+        call_result: target_client.CallResult,
         term: int,
     ) -> None:
-        """Bar a refused attempt: a copy of its start may still arrive."""
-        async with self._limit:
-            stopped = await self._caller.stop(self._destination, attempt, term)
+        """Stop a refused attempt: a copy of its start may still arrive."""
+        async with self._call_limit:
+            stopped = await self._client.stop(self._destination, attempt, term)
         if stopped in {
             target_client.CallResult.DONE,
             target_client.CallResult.BARRED,
         }:
-            self._note_barred(attempt, answer)
+            self._add_barred(attempt, call_result)
 
     async def _stop(self, attempt: identity.AttemptId, term: int) -> None:
-        answer = target_client.CallResult.NO_REPLY
-        for _ in range(_TRIES):
-            async with self._limit:
-                answer = await self._caller.stop(
+        call_result = target_client.CallResult.NO_REPLY
+        for _ in range(_MAX_TRIES):
+            async with self._call_limit:
+                call_result = await self._client.stop(
                     self._destination, attempt, term
                 )
-            self._note(f'stop: {answer.value}', attempt)
-            if answer is not target_client.CallResult.NO_REPLY:
+            self._log(f'stop: {call_result.value}', attempt)
+            if call_result is not target_client.CallResult.NO_REPLY:
                 break
-        if answer in {
+        if call_result in {
             target_client.CallResult.DONE,
             target_client.CallResult.BARRED,
         }:
-            self._note_barred(attempt, answer)
+            self._add_barred(attempt, call_result)
 
-    def _note_barred(
-        self, attempt: identity.AttemptId, answer: target_client.CallResult
+    def _add_barred(
+        self, attempt: identity.AttemptId, call_result: target_client.CallResult
     ) -> None:
-        """Let a look tell whether the attempt is there after all."""
-        is_first = self._listing.add_barred(attempt, answer)
+        """Poll soon to check that the attempt is not on the target."""
+        is_first = self._reports.add_barred(attempt, call_result)
         if is_first and self._group is not None:
-            self._group.start_soon(self._look_soon)
+            self._group.start_soon(self._poll_soon)
 
-    async def _look_soon(self) -> None:
-        await anyio.sleep(_GATHER_S)
-        await self._look(0)
+    async def _poll_soon(self) -> None:
+        await anyio.sleep(_BATCH_DELAY_S)
+        await self._poll(0)
 
-    def _pace(self, seen: target_client.PollResult) -> None:
-        told = self._fillers.decide(seen.running, clock.monotonic_ms())
-        for attempt, percent in told:
+    def _update_pace(self, poll_result: target_client.PollResult) -> None:
+        changes = self._pacer.decide(poll_result.running, clock.monotonic_ms())
+        for attempt, percent in changes:
             if self._group is not None:
-                self._group.start_soon(self._pace_one, attempt, percent)
+                self._group.start_soon(self._send_pace, attempt, percent)
 
-    async def _pace_one(
+    async def _send_pace(
         self, attempt: identity.AttemptId, percent: int
     ) -> None:
-        async with self._limit:
-            answer = await self._caller.pace(
+        async with self._call_limit:
+            call_result = await self._client.pace(
                 self._destination, attempt, percent, self._term
             )
-        if answer is not target_client.CallResult.DONE:
-            self._fillers.forget_pace(attempt)
+        if call_result is not target_client.CallResult.DONE:
+            self._pacer.forget_pace(attempt)
 
-    def _note(self, what: str, attempt: str = '') -> None:
-        self._journal.record(
+    def _log(self, what: str, attempt: str = '') -> None:
+        self._event_log.record(
             what,
             attempt=attempt,
             job=attempt.split('.', maxsplit=1)[0],
@@ -314,66 +316,66 @@
 
 
 class PolledTargets:
-    """The targets that the leader has assigned to this entry."""
+    """The polled targets that the leader has assigned to this entry."""
 
     def __init__(
         self,
-        caller: target_client.TargetClient,
+        client: target_client.TargetClient,
         leader: upstream.Upstream,
         sessions: session.Sessions,
-        lines: journal.Journal,
+        event_log: journal.Journal,
     ) -> None:
-        """Take over assignments from the leader."""
-        self._caller = caller
+        """Register as the handler of the leader's assignments."""
+        self._client = client
         self._leader = leader
         self._sessions = sessions
-        self._journal = lines
+        self._event_log = event_log
         self._group: TaskGroup | None = None
         leader.on_assignment = self.assign
 
     async def run(self) -> None:
-        """Keep the sessions going for ever."""
+        """Run the sessions until cancelled."""
         async with anyio.create_task_group() as group:
             self._group = group
             await anyio.sleep_forever()
 
     def assign(self, assigned: wire.Assignment) -> None:
-        """Call the target of a session from now on, or go on with it."""
+        """Start the session of an assigned target, or update it."""
         if self._group is None:
             return
-        present = self._sessions.open.get(assigned.session)
-        if isinstance(present, PolledSession):
-            present.update_assignment(assigned)
+        current = self._sessions.open.get(assigned.session)
+        if isinstance(current, PolledSession):
+            current.update_assignment(assigned)
             return
-        called = PolledSession(
+        new_session = PolledSession(
             assigned,
-            self._caller,
+            self._client,
             self._leader,
             self._sessions,
-            self._journal,
+            self._event_log,
         )
-        self._sessions.add(assigned.session, called)
-        self._group.start_soon(self._carry, called)
+        self._sessions.add(assigned.session, new_session)
+        self._group.start_soon(self._run_session, new_session)
 
-    async def _carry(self, carried: PolledSession) -> None:
-        """Run a session; one that fails ends by itself.
+    async def _run_session(self, polled_session: PolledSession) -> None:
+        """Run a session; a failure ends only this session.
 
-        The leader gives its target to another entry once it is unanswered.
+        The leader reassigns the target once the session stops responding.
         """
         try:
-            await carried.run()
+            await polled_session.run()
         except Exception as error:
             cause = _find_cause(error)
-            self._journal.record(
+            self._event_log.record(
                 'session failed',
                 f'{type(cause).__name__}: {cause}',
-                target=carried.assigned.target,
+                target=polled_session.assigned.target,
             )
-            carried.end()
+            polled_session.end()
 
 
 def _find_cause(error: BaseException) -> BaseException:
-    """Return the first error within groups of errors."""
+    """Return the first leaf exception of nested exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/mulberrywalk/entry/polled_test.py
+++ b/mulberrywalk/entry/polled_test.py
@@ -1,4 +1,4 @@
-"""An entry's calls to a target, whose answers come late, twice or never."""
+"""Tests for polled targets whose replies are late, repeated or missing."""
 
 import anyio
 import msgspec
@@ -13,15 +13,15 @@
 SESSION = identity.SessionId('s1')
 FIRST = identity.AttemptId('j.0.0.0/1')
 SECOND = identity.AttemptId('j.0.0.1/1')
-BORN = 100
+BORN_AT = 100
 
 
 class FakeLeader(upstream.Upstream):
-    """Keeps what an entry sends."""
+    """Records the messages that an entry sends."""
 
     def __init__(self):
-        lines = journal.Journal(journal.Origin('e', 'd'))
-        super().__init__(('a:1',), lines, cost.Meter())
+        event_log = journal.Journal(journal.Origin('e', 'd'))
+        super().__init__(('a:1',), event_log, cost.Meter())
         self.sent = []
 
     def send(self, message):
@@ -37,22 +37,22 @@
 
 
 class FakeTarget(target_client.TargetClient):
-    """Answers looks from lists, and orders by what it was told to say."""
+    """Answers polls from lists, and starts with a configured result."""
 
     def __init__(self):
         self.running = []
         self.ended = []
-        self.glances = []
+        self.poll_requests = []
         self.starts = []
         self.stops = []
         self.paces = []
-        self.answer = target_client.CallResult.DONE
-        self.born_at = BORN
+        self.start_result = target_client.CallResult.DONE
+        self.born_at = BORN_AT
 
-    async def poll(self, destination, glance):
+    async def poll(self, destination, request):
         await anyio.sleep(0.002)
-        self.glances.append(glance)
-        ended = [one for one in self.ended if one.number > glance.acknowledged]
+        self.poll_requests.append(request)
+        ended = [one for one in self.ended if one.number > request.acknowledged]
         return target_client.PollResult(
             clock.monotonic_ms(),
             self.born_at,
@@ -60,9 +60,9 @@
             tuple(ended),
         )
 
-    async def start(self, destination, command, until, term):
-        self.starts.append((command.attempt, until, term))
-        return self.answer
+    async def start(self, destination, command, lease_until_ms, term):
+        self.starts.append((command.attempt, lease_until_ms, term))
+        return self.start_result
 
     async def stop(self, destination, attempt, term):
         self.stops.append(attempt)
@@ -74,20 +74,20 @@
 
 
 class PartlyFailingTarget(FakeTarget):
-    """Passes looks on, but for those at one target, which raise."""
+    """Forwards polls to another fake, but raises for one target."""
 
     def __init__(self, good, fault):
         super().__init__()
         self.good = good
         self.fault = fault
 
-    async def poll(self, destination, glance):
+    async def poll(self, destination, request):
         if destination.target == 'odd':
             raise self.fault
-        return await self.good.poll(destination, glance)
+        return await self.good.poll(destination, request)
 
 
-def only(found):
+def single(found):
     assert len(found) == 1, found
     return found[0]
 
@@ -97,7 +97,7 @@
         session=SESSION,
         target=TARGET,
         address='a:1',
-        born_at=BORN,
+        born_at=BORN_AT,
         term=term,
         lease_ms=8000,
         **more,
@@ -117,23 +117,23 @@
     )
 
 
-def play(target, scenario, **more):
-    """Run a session against a target while the scenario acts upon it."""
+def run_session(target, scenario, **more):
+    """Run a session against a target while the scenario drives it."""
     leader = FakeLeader()
     sessions = session.Sessions(leader)
-    lines = journal.Journal(journal.Origin('e', 'd'))
+    event_log = journal.Journal(journal.Origin('e', 'd'))
 
     async def run():
-        carried = polled.PolledSession(
-            assignment(**more), target, leader, sessions, lines
+        polled_session = polled.PolledSession(
+            assignment(**more), target, leader, sessions, event_log
         )
-        sessions.add(SESSION, carried)
+        sessions.add(SESSION, polled_session)
         async with anyio.create_task_group() as group:
-            group.start_soon(carried.run)
+            group.start_soon(polled_session.run)
             await anyio.sleep(0.02)
-            carried.renew(clock.monotonic_ms())
-            await scenario(carried, leader)
-            carried.end()
+            polled_session.renew(clock.monotonic_ms())
+            await scenario(polled_session, leader)
+            polled_session.end()
 
     anyio.run(run)
     return leader
@@ -146,13 +146,13 @@
         target_client.EndedAttempt(58, SECOND, job.EndReason.COMPLETED, ''),
     ]
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         commands = wire.Commands(SESSION, acknowledge=(FIRST, SECOND), term=7)
-        carried.command(commands)
+        polled_session.command(commands)
         await anyio.sleep(0.5)
 
-    leader = play(target, scenario)
-    assert target.glances[-1].acknowledged == 58
+    leader = run_session(target, scenario)
+    assert target.poll_requests[-1].acknowledged == 58
     ended = [one.attempt for one in leader.reports('ended')]
     assert ended == [FIRST, SECOND]
 
@@ -164,44 +164,48 @@
         target_client.EndedAttempt(2, SECOND, job.EndReason.COMPLETED, ''),
     ]
 
-    async def scenario(carried, leader):
-        carried.command(wire.Commands(SESSION, acknowledge=(SECOND,), term=7))
+    async def scenario(polled_session, leader):
+        polled_session.command(
+            wire.Commands(SESSION, acknowledge=(SECOND,), term=7)
+        )
         await anyio.sleep(0.5)
 
-    play(target, scenario)
-    assert target.glances[-1].acknowledged == 0
+    run_session(target, scenario)
+    assert target.poll_requests[-1].acknowledged == 0
 
 
-def test_a_fenced_entry_looks_no_more():
+def test_fenced_entry_stops_polling():
     target = FakeTarget()
-    looks = []
+    polls = []
 
-    async def refuse(destination, glance):
-        looks.append(glance)
+    async def refuse(destination, request):
+        polls.append(request)
         return target_client.CallResult.FENCED
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         target.poll = refuse
         await anyio.sleep(1.5)
 
-    play(target, scenario)
-    assert len(looks) == 1
+    run_session(target, scenario)
+    assert len(polls) == 1
 
 
-def test_start_carries_a_lease_that_ends_before_the_leader_counts():
+def test_start_carries_a_lease_no_longer_than_the_granted_one():
     target = FakeTarget()
     asked_at = []
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         asked_at.append(clock.monotonic_ms())
-        carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
+        polled_session.command(
+            wire.Commands(SESSION, start=(command(FIRST),), term=7)
+        )
         await anyio.sleep(0.05)
 
-    leader = play(target, scenario)
-    attempt, until, term = only(target.starts)
+    leader = run_session(target, scenario)
+    attempt, lease_until_ms, term = single(target.starts)
     assert (attempt, term) == (FIRST, 7)
-    # The clock of the fake is the own one, so the lease can be compared.
-    assert asked_at[0] < until <= asked_at[0] + assignment().lease_ms
+    # The fake uses the clock of this process, so the times are comparable.
+    assert asked_at[0] < lease_until_ms <= asked_at[0] + assignment().lease_ms
     assert [one.attempt for one in leader.reports('started')] == [FIRST]
 
 
@@ -209,24 +213,24 @@
     target = FakeTarget()
     leader = FakeLeader()
     sessions = session.Sessions(leader)
-    lines = journal.Journal(journal.Origin('e', 'd'))
+    event_log = journal.Journal(journal.Origin('e', 'd'))
 
     async def run():
-        carried = polled.PolledSession(
-            assignment(), target, leader, sessions, lines
+        polled_session = polled.PolledSession(
+            assignment(), target, leader, sessions, event_log
         )
         async with anyio.create_task_group() as group:
-            group.start_soon(carried.run)
+            group.start_soon(polled_session.run)
             await anyio.sleep(0.01)
-            carried.command(
+            polled_session.command(
                 wire.Commands(SESSION, start=(command(FIRST),), term=7)
             )
             await anyio.sleep(0.05)
             assert not target.starts
-            carried.renew(clock.monotonic_ms())
+            polled_session.renew(clock.monotonic_ms())
             await anyio.sleep(0.05)
             assert target.starts
-            carried.end()
+            polled_session.end()
 
     anyio.run(run)
 
@@ -243,18 +247,20 @@
     answer, reason
 ):
     target = FakeTarget()
-    target.answer = answer
+    target.start_result = answer
 
-    async def scenario(carried, leader):
-        carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
+    async def scenario(polled_session, leader):
+        polled_session.command(
+            wire.Commands(SESSION, start=(command(FIRST),), term=7)
+        )
         with anyio.fail_after(5):
             while not leader.reports('ended'):
                 await anyio.sleep(0.01)
         await anyio.sleep(0.05)
 
-    leader = play(target, scenario)
+    leader = run_session(target, scenario)
     assert target.stops == [FIRST]
-    ended = only(leader.reports('ended'))
+    ended = single(leader.reports('ended'))
     assert ended.reason is reason
     assert ended.detail == answer.value
 
@@ -263,8 +269,8 @@
     target = FakeTarget()
     target.running = [target_client.RunningAttempt(FIRST, '', 0)]
 
-    async def scenario(carried, leader):
-        carried.command(
+    async def scenario(polled_session, leader):
+        polled_session.command(
             wire.Commands(
                 SESSION,
                 stop=(wire.StopCommand(FIRST, is_checkpointed=False),),
@@ -273,60 +279,66 @@
         )
         await anyio.sleep(0.1)
 
-    leader = play(target, scenario)
+    leader = run_session(target, scenario)
     assert target.stops == [FIRST]
     assert not leader.reports('ended')
 
 
-def test_start_without_an_answer_is_given_again_at_once():
+def test_start_without_a_reply_is_repeated_at_once():
     target = FakeTarget()
-    target.answer = target_client.CallResult.NO_REPLY
+    target.start_result = target_client.CallResult.NO_REPLY
 
-    async def scenario(carried, leader):
-        carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
+    async def scenario(polled_session, leader):
+        polled_session.command(
+            wire.Commands(SESSION, start=(command(FIRST),), term=7)
+        )
         await anyio.sleep(0.05)
 
-    play(target, scenario)
+    run_session(target, scenario)
     assert len(target.starts) > 1
 
 
-def test_unanswered_start_is_found_by_a_look():
+def test_start_without_a_reply_is_confirmed_by_a_poll():
     target = FakeTarget()
-    target.answer = target_client.CallResult.NO_REPLY
+    target.start_result = target_client.CallResult.NO_REPLY
 
-    async def scenario(carried, leader):
-        carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
+    async def scenario(polled_session, leader):
+        polled_session.command(
+            wire.Commands(SESSION, start=(command(FIRST),), term=7)
+        )
         await anyio.sleep(0.02)
         assert not leader.reports('started')
         target.running = [target_client.RunningAttempt(FIRST, '', 0)]
         await anyio.sleep(0.1)
 
-    leader = play(target, scenario)
+    leader = run_session(target, scenario)
     assert [one.attempt for one in leader.reports('started')] == [FIRST]
 
 
-def test_look_at_another_life_tells_nothing():
+def test_poll_of_another_incarnation_is_ignored():
     target = FakeTarget()
-    target.born_at = BORN + 1
+    target.born_at = BORN_AT + 1
     target.ended = [
         target_client.EndedAttempt(1, FIRST, job.EndReason.FAILED, '')
     ]
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         await anyio.sleep(0.05)
 
-    leader = play(target, scenario)
+    leader = run_session(target, scenario)
     assert not leader.reports('ended')
 
 
 def test_commands_of_an_earlier_term_are_ignored():
     target = FakeTarget()
 
-    async def scenario(carried, leader):
-        carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=6))
+    async def scenario(polled_session, leader):
+        polled_session.command(
+            wire.Commands(SESSION, start=(command(FIRST),), term=6)
+        )
         await anyio.sleep(0.05)
 
-    play(target, scenario)
+    run_session(target, scenario)
     assert not target.starts
 
 
@@ -337,10 +349,10 @@
         target_client.RunningAttempt(SECOND, '', 900),
     ]
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         await anyio.sleep(0.05)
 
-    play(
+    run_session(
         target,
         scenario,
         shares=(
@@ -351,7 +363,7 @@
     assert target.paces == [(SECOND, 0)]
 
 
-def test_filler_of_an_earlier_entry_is_told_its_share_until_it_answers():
+def test_pace_of_a_filler_of_an_earlier_entry_is_sent_until_it_replies():
     target = FakeTarget()
     target.running = [target_client.RunningAttempt(FIRST, '', 0)]
     answers = iter(
@@ -362,69 +374,73 @@
         target.paces.append((attempt, percent))
         return next(answers)
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         await anyio.sleep(0.1)
 
     target.pace = pace
-    play(target, scenario, shares=(wire.Share(FIRST, 0, is_filler=True),))
+    run_session(
+        target, scenario, shares=(wire.Share(FIRST, 0, is_filler=True),)
+    )
     assert target.paces == [(FIRST, 100), (FIRST, 100)]
 
 
-def test_what_a_lost_leader_may_not_have_kept_is_told_to_the_next():
+def test_uncommitted_reports_are_repeated_to_a_new_leader():
     target = FakeTarget()
     target.running = [target_client.RunningAttempt(FIRST, 'saved', 0)]
     target.ended = [
         target_client.EndedAttempt(1, SECOND, job.EndReason.COMPLETED, '')
     ]
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         await anyio.sleep(0.05)
-        told = len(leader.reports('started'))
-        carried.update_assignment(assignment(term=8))
-        carried.command(wire.Commands(SESSION, term=7, start=(command(FIRST),)))
+        reported = len(leader.reports('started'))
+        polled_session.update_assignment(assignment(term=8))
+        polled_session.command(
+            wire.Commands(SESSION, term=7, start=(command(FIRST),))
+        )
         await anyio.sleep(1.1)
-        assert len(leader.reports('started')) == told + 1
+        assert len(leader.reports('started')) == reported + 1
 
-    leader = play(target, scenario)
+    leader = run_session(target, scenario)
     assert [one.attempt for one in leader.reports('saved')] == [FIRST, FIRST]
     assert {one.attempt for one in leader.reports('ended')} == {SECOND}
-    assert {one.term for one in target.glances} == {7, 8}
+    assert {one.term for one in target.poll_requests} == {7, 8}
     assert not target.starts
 
 
-def test_an_entry_tells_which_targets_it_calls():
-    async def scenario(carried, leader):
+def test_entry_lists_the_targets_that_it_polls():
+    async def scenario(polled_session, leader):
         assert leader.target_handlers.list_polled() == (SESSION,)
-        carried.end()
+        polled_session.end()
         assert not leader.target_handlers.list_polled()
 
-    play(FakeTarget(), scenario)
+    run_session(FakeTarget(), scenario)
 
 
 def test_checkpoints_are_reported_when_they_change():
     target = FakeTarget()
     target.running = [target_client.RunningAttempt(FIRST, 'a', 0)]
 
-    async def scenario(carried, leader):
+    async def scenario(polled_session, leader):
         await anyio.sleep(0.05)
         target.running = [target_client.RunningAttempt(FIRST, 'b', 0)]
         await anyio.sleep(0.05)
 
-    leader = play(target, scenario)
+    leader = run_session(target, scenario)
     assert leader.reports('saved') == [
         event.AttemptCheckpoint(FIRST, 'a'),
         event.AttemptCheckpoint(FIRST, 'b'),
     ]
 
 
-def play_targets(target, scenario):
-    """Run what an entry calls while the scenario acts; return its lines."""
+def run_targets(target, scenario):
+    """Run the polled targets during the scenario; return the event log."""
     leader = FakeLeader()
     sessions = session.Sessions(leader)
-    lines = journal.Journal(journal.Origin('e', 'd'))
+    event_log = journal.Journal(journal.Origin('e', 'd'))
 
     async def run():
-        targets = polled.PolledTargets(target, leader, sessions, lines)
+        targets = polled.PolledTargets(target, leader, sessions, event_log)
         async with anyio.create_task_group() as group:
             group.start_soon(targets.run)
             await anyio.sleep(0.01)
@@ -432,11 +448,11 @@
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    return lines
+    return event_log
 
 
 @pytest.mark.parametrize('fault', [OverflowError, ValueError, RecursionError])
-def test_target_whose_answers_raise_ends_no_session_but_its_own(fault):
+def test_exception_in_a_poll_ends_only_the_session_of_that_target(fault):
     good = FakeTarget()
 
     async def scenario(targets, leader, sessions):
@@ -444,42 +460,44 @@
         odd = {'session': identity.SessionId('s2'), 'target': 'odd'}
         targets.assign(msgspec.structs.replace(assignment(), **odd))
         await anyio.sleep(0.05)
-        looks = len(good.glances)
+        polls = len(good.poll_requests)
         sessions.open[SESSION].renew(clock.monotonic_ms())
         await anyio.sleep(0.05)
-        assert len(good.glances) > looks
+        assert len(good.poll_requests) > polls
         assert set(sessions.open) == {SESSION}
 
-    lines = play_targets(PartlyFailingTarget(good, fault), scenario)
-    assert lines.find(journal.Filter(target='odd'))
+    event_log = run_targets(PartlyFailingTarget(good, fault), scenario)
+    assert event_log.find(journal.Filter(target='odd'))
 
 
-def test_order_for_a_session_that_has_failed_raises_nothing():
+def test_command_for_a_failed_session_is_ignored():
     leader = FakeLeader()
-    lines = journal.Journal(journal.Origin('e', 'd'))
+    event_log = journal.Journal(journal.Origin('e', 'd'))
     target = FakeTarget()
 
-    async def fail(destination, glance):
+    async def fail(destination, request):
         raise ValueError
 
     async def run():
         target.poll = fail
-        carried = polled.PolledSession(
-            assignment(), target, leader, session.Sessions(leader), lines
+        polled_session = polled.PolledSession(
+            assignment(), target, leader, session.Sessions(leader), event_log
         )
         with pytest.raises(ExceptionGroup):
-            await carried.run()
-        carried.command(wire.Commands(SESSION, start=(command(FIRST),), term=7))
+            await polled_session.run()
+        polled_session.command(
+            wire.Commands(SESSION, start=(command(FIRST),), term=7)
+        )
 
     anyio.run(run)
     assert not target.starts
 
 
-def test_orders_that_come_with_an_assignment_are_carried_out():
+def test_commands_that_arrive_with_an_assignment_are_executed():
     target = FakeTarget()
 
     async def scenario(targets, leader, sessions):
-        # The leader sends both at once: they arrive in one batch.
+        # The leader sends both in one batch.
         targets.assign(assignment())
         stop = wire.StopCommand(FIRST, is_checkpointed=False)
         leader.target_handlers.command(
@@ -487,11 +505,11 @@
         )
         await anyio.sleep(0.1)
 
-    play_targets(target, scenario)
+    run_targets(target, scenario)
     assert target.stops == [FIRST]
 
 
-def test_a_target_that_is_taken_back_at_once_is_not_looked_at():
+def test_target_that_is_withdrawn_at_once_is_not_polled():
     target = FakeTarget()
 
     async def scenario(targets, leader, sessions):
@@ -499,5 +517,5 @@
         leader.target_handlers.end(wire.Gone((SESSION,)))
         await anyio.sleep(0.1)
 
-    play_targets(target, scenario)
-    assert not target.glances
+    run_targets(target, scenario)
+    assert not target.poll_requests
--- a/mulberrywalk/entry/program.py
+++ b/mulberrywalk/entry/program.py
@@ -1,4 +1,4 @@
-"""The entry program: settings, composition and life cycle."""
+"""The entry program: settings, startup and shutdown."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from ..telemetry import cost, journal, metric, setting
 from . import connection, http_api, protocol, session, upstream
 
-_EXIT_ADDRESS = 3
-_POLL_S = 0.05
+_EXIT_ADDRESS_ERROR = 3
+_POLL_INTERVAL_S = 0.05
 _LOG_FORMATS = frozenset(('text', 'json'))
-_LONGEST_MS = 3_600_000
+_MAX_DURATION_MS = 3_600_000
 _MS_PER_S = 1000
-_QUIET_POLLS = 4
+_IDLE_POLLS_TO_STOP = 4
 _BACKLOG = 1024
-_IDLE_S = 75
+_KEEP_ALIVE_S = 75
 
-# An ASGI application, in the form that the server takes.
+# An ASGI application, as the HTTP server accepts it.
 Application = Any
 
 application = typer.Typer(add_completion=False)
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Checked settings of an entry; addresses are host:port."""
+    """Validated settings of an entry; addresses are host:port."""
 
     name: str
     data_centre: str
@@ -44,7 +44,7 @@
     notice_ms: int
     drain_limit_ms: int
     configuration_max_age_ms: int = upstream.CONFIGURATION_MAX_AGE_MS
-    keep_alive_s: int = _IDLE_S
+    keep_alive_s: int = _KEEP_ALIVE_S
 
 
 @application.command()
@@ -68,35 +68,36 @@
 ) -> None:
     """Run an entry: HTTP for callers and operators, sessions of targets.
 
-    On SIGTERM readiness goes off for the notice, then requests in progress
-    end, at most within the drain limit. A second signal stops at once.
+    On SIGTERM the entry reports that it is not ready for the notice period,
+    then waits for requests in progress up to the drain limit. A second signal
+    stops it at once.
     """
     checker = setting.Checker()
-    checked = Settings(
+    settings = Settings(
         name=checker.name('--name', name),
         data_centre=checker.name('--data-centre', data_centre),
         listen=checker.address('--listen', listen),
         replicas=checker.addresses('--replicas', replicas),
         statsd=checker.optional_address('--statsd', statsd),
         log_format=checker.choice('--log-format', log_format, _LOG_FORMATS),
-        notice_ms=checker.number('--notice-ms', notice_ms, 0, _LONGEST_MS),
+        notice_ms=checker.number('--notice-ms', notice_ms, 0, _MAX_DURATION_MS),
         drain_limit_ms=checker.number(
-            '--drain-limit-ms', drain_limit_ms, 0, _LONGEST_MS
+            '--drain-limit-ms', drain_limit_ms, 0, _MAX_DURATION_MS
         ),
     )
     checker.finish()
-    journal.open_log(is_json=checked.log_format == 'json')
+    journal.open_log(is_json=settings.log_format == 'json')
     try:
-        anyio.run(serve, checked, backend='asyncio')
+        anyio.run(serve, settings, backend='asyncio')
     except* OSError as errors:
         for error in errors.exceptions:
             typer.echo(str(error), err=True)
-        raise typer.Exit(_EXIT_ADDRESS) from errors
+        raise typer.Exit(_EXIT_ADDRESS_ERROR) from errors
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Components:
-    """What an extension of the entry is composed with."""
+    """The components of an entry that an extension may use."""
 
     settings: Settings
     leader: upstream.Upstream
@@ -107,24 +108,24 @@
 
 
 class Extension(abc.ABC):
-    """Adds interfaces and targets of another kind to an entry."""
+    """Adds further interfaces and kinds of targets to an entry."""
 
     @abc.abstractmethod
     def extend(
         self, components: Components, application: Application
     ) -> tuple[Application, tuple[str, ...]]:
-        """Return the application to serve, and the addresses to serve it on.
+        """Return the application to serve and the addresses to bind.
 
-        application is the entry's own one.
+        application is the one that the entry serves without an extension.
         """
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Do the extension's own work until it is cancelled."""
+        """Run the background work of the extension until cancelled."""
 
 
 class NoExtension(Extension):
-    """The entry as it is."""
+    """An extension that adds nothing."""
 
     def extend(
         self, components: Components, application: Application
@@ -137,7 +138,7 @@
 
 
 async def serve(settings: Settings, extension: Extension | None = None) -> None:
-    """Compose the entry and run it until a signal."""
+    """Assemble the entry and run it until a signal."""
     event_log = journal.Journal(
         journal.Origin(settings.name, settings.data_centre)
     )
@@ -154,13 +155,13 @@
     sessions = session.Sessions(leader)
     targets = connection.Connections(leader, sessions, event_log)
     api = http_api.HttpApi(leader, targets, event_log, metrics)
-    extended = extension or NoExtension()
+    active_extension = extension or NoExtension()
     components = Components(settings, leader, sessions, api, event_log, metrics)
-    application, config = _extend(extended, components)
+    application, config = _extend(active_extension, components)
     async with anyio.create_task_group() as group:
         group.start_soon(leader.run)
         group.start_soon(sessions.send_renewals)
-        group.start_soon(extended.run)
+        group.start_soon(active_extension.run)
         group.start_soon(_drain_on_signal, settings, api, targets, stop)
         group.start_soon(_serve_http, application, config, stop, group)
         event_log.record('entry running', settings.listen)
@@ -225,16 +226,16 @@
     targets: connection.Connections,
     stop: anyio.Event,
 ) -> None:
-    """Wait for the balancer to look away, then for requests to end."""
+    """Wait for the load balancer to stop sending, then for requests to end."""
     targets.announce_stopping()
     await anyio.sleep(settings.notice_ms / _MS_PER_S)
     targets.relocate()
     with anyio.move_on_after(settings.drain_limit_ms / _MS_PER_S):
-        quiet = 0
-        while quiet < _QUIET_POLLS:
-            await anyio.sleep(_POLL_S)
-            is_quiet = not (serving_state.in_progress or targets.count())
-            quiet = quiet + 1 if is_quiet else 0
+        idle_polls = 0
+        while idle_polls < _IDLE_POLLS_TO_STOP:
+            await anyio.sleep(_POLL_INTERVAL_S)
+            is_idle = not (serving_state.in_progress or targets.count())
+            idle_polls = idle_polls + 1 if is_idle else 0
     stop.set()
 
 
--- a/mulberrywalk/entry/protocol.py
+++ b/mulberrywalk/entry/protocol.py
@@ -24,7 +24,7 @@
 
 
 class Capacity(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a target offers."""
+    """The capacity of a target."""
 
     millicores: Amount
     memory_bytes: Amount
@@ -32,7 +32,7 @@
     accelerators: Amount = 0
 
     def resources(self) -> resource.Resources:
-        """Return the capacity as amounts."""
+        """Return the capacity as core resources."""
         return resource.Resources(
             self.millicores, self.memory_bytes, self.accelerators, self.slots
         )
@@ -47,8 +47,8 @@
 ):
     """The first message of a target.
 
-    resume names a session to go on with; ended one of which the target
-    certifies that nothing runs any more.
+    resume names a session to resume; ended names a session for which the
+    target guarantees that none of its attempts is still running.
     """
 
     version: int
@@ -69,7 +69,7 @@
     tag='renew',
     forbid_unknown_fields=True,
 ):
-    """Asks to extend the lease; also the target's heartbeat."""
+    """Requests a lease extension; also serves as a heartbeat."""
 
     sequence: Timestamp
     clock: Timestamp = 0
@@ -83,7 +83,7 @@
 
 
 class Ended(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An attempt that has ended, or that will never start."""
+    """An attempt that has ended or will never start."""
 
     attempt: str
     reason: Literal['completed', 'failed', 'stopped', 'never_started']
@@ -94,7 +94,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What an attempt uses."""
+    """The resource usage of an attempt."""
 
     attempt: str
     millicores: Amount
@@ -108,7 +108,7 @@
     tag='report',
     forbid_unknown_fields=True,
 ):
-    """What has happened on the target; ends repeat until acknowledged."""
+    """State changes on the target; ends are repeated until acknowledged."""
 
     started: tuple[Started, ...] = ()
     ended: tuple[Ended, ...] = ()
@@ -123,7 +123,7 @@
     tag='leave',
     forbid_unknown_fields=True,
 ):
-    """The target is leaving: it takes no new work."""
+    """Announces that the target is leaving and accepts no new work."""
 
     clock: Timestamp = 0
 
@@ -132,7 +132,7 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='welcome'):
-    """The session is open; its lease counts from when hello was sent."""
+    """Opens a session; its lease starts when the target sent hello."""
 
     session: identity.SessionId
     lease_ms: int
@@ -140,7 +140,7 @@
 
 
 class Renewed(msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='renewed'):
-    """The lease counts from when the renewal of that number was sent."""
+    """Renews the lease from the time when that renew was sent."""
 
     sequence: int
     clock: int
@@ -149,7 +149,7 @@
 class Commands(
     msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='commands'
 ):
-    """What the target is to do, each part possibly empty."""
+    """Commands for the target; each list may be empty."""
 
     start: tuple[wire.StartCommand, ...]
     stop: tuple[wire.StopCommand, ...]
@@ -159,19 +159,19 @@
 
 
 class Expired(msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='expired'):
-    """The session is over: stop everything, then open a new one."""
+    """Ends the session: stop all attempts, then open a new session."""
 
     clock: int
 
 
 class Move(msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='move'):
-    """This entry is stopping: resume the session at another."""
+    """Asks the target to resume at another entry, as this one stops."""
 
     clock: int
 
 
 class Refused(msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='error'):
-    """Why the connection is being closed."""
+    """Gives the reason why the connection is being closed."""
 
     reason: str
 
--- a/mulberrywalk/entry/reporting.py
+++ b/mulberrywalk/entry/reporting.py
@@ -1,4 +1,4 @@
-"""What a target has listed, and what of it the leader has yet to hear."""
+"""Builds reports to the leader from the polls of a target."""
 
 from __future__ import annotations
 
@@ -8,132 +8,133 @@
 
 
 class ReportBuilder:
-    """Turns the looks at one life of a target into reports.
+    """Builds reports from the polls of one incarnation of a target.
 
-    ends are the ends that were listed, with what the target may forget.
+    ends tracks the listed ends and their acknowledgement.
     """
 
     def __init__(self, session: identity.SessionId) -> None:
-        """Start without a look."""
+        """Start with no poll results."""
         self.ends = acknowledgement.EndTracker()
         self._session = session
         self._confirmed: set[identity.AttemptId] = set()
         self._checkpoints: dict[identity.AttemptId, str] = {}
-        # Orders that were answered as barred: reported unless a later look
-        # shows the attempt.
+        # Attempts that the target bars from starting; each is reported as
+        # ended unless a later poll shows it.
         self._barred: dict[identity.AttemptId, target_client.CallResult] = {}
 
     def reset_reports(self) -> None:
-        """Let all that the next look shows be reported, to another leader."""
+        """Report everything that the next poll shows, for a new leader."""
         self._confirmed.clear()
         self._checkpoints.clear()
         self.ends.reset_reports()
 
     def confirm(self, attempt: identity.AttemptId) -> None:
-        """Take note of a start whose confirmation is reported elsewhere."""
+        """Record a start that is reported to the leader separately."""
         self._confirmed.add(attempt)
 
     def add_barred(
-        self, attempt: identity.AttemptId, answer: target_client.CallResult
+        self, attempt: identity.AttemptId, call_result: target_client.CallResult
     ) -> bool:
-        """Let a later look tell whether a barred attempt is there after all.
+        """Record a barred attempt, to be checked against a later poll.
 
-        Returns whether it is the first that waits for one.
+        Returns whether no other attempt is waiting for such a poll.
         """
         is_first = not self._barred
-        self._barred[attempt] = answer
+        self._barred[attempt] = call_result
         return is_first
 
     def snapshot_barred(
         self,
     ) -> dict[identity.AttemptId, target_client.CallResult]:
-        """Return what was barred by now, to be judged by a look from now."""
+        """Return the attempts barred so far, for build after the next poll."""
         return dict(self._barred)
 
     def build(
         self,
-        seen: target_client.PollResult,
+        poll_result: target_client.PollResult,
         barred: dict[identity.AttemptId, target_client.CallResult],
         now: int,
     ) -> wire.Report | None:
-        """Return what is new in a look, or None.
+        """Return a report of what is new in a poll result, or None.
 
-        barred is what was barred before the look; now is a monotonic time in
-        milliseconds.
+        barred holds the attempts that were barred before the poll was sent;
+        now is a monotonic time in milliseconds.
         """
-        if seen.ended:
-            self.ends.skip_below(min(one.number for one in seen.ended))
+        if poll_result.ended:
+            self.ends.skip_below(min(one.number for one in poll_result.ended))
         report = wire.Report(
             self._session,
             tuple(
-                event.AttemptStart(one, now) for one in self._find_started(seen)
+                event.AttemptStart(one, now)
+                for one in self._find_started(poll_result)
             ),
             (
-                *self._find_ended(seen, now),
-                *self._find_barred(seen, barred, now),
+                *self._find_ended(poll_result, now),
+                *self._find_barred(poll_result, barred, now),
             ),
-            saved=self._find_saved(seen),
+            saved=self._find_saved(poll_result),
         )
         is_new = report.started or report.ended or report.saved
         return report if is_new else None
 
     def _find_started(
-        self, seen: target_client.PollResult
+        self, poll_result: target_client.PollResult
     ) -> list[identity.AttemptId]:
-        names = [one.attempt for one in seen.running]
-        started = [one for one in names if one not in self._confirmed]
-        self._confirmed = set(names)
+        running = [one.attempt for one in poll_result.running]
+        started = [one for one in running if one not in self._confirmed]
+        self._confirmed = set(running)
         return started
 
     def _find_ended(
-        self, seen: target_client.PollResult, now: int
+        self, poll_result: target_client.PollResult, now: int
     ) -> list[event.AttemptEnd]:
         return [
             event.AttemptEnd(
                 one.attempt, one.reason, now, checkpoint=one.checkpoint
             )
-            for one in seen.ended
+            for one in poll_result.ended
             if self.ends.track(one.attempt, one.number, now)
         ]
 
     def _find_barred(
         self,
-        seen: target_client.PollResult,
+        poll_result: target_client.PollResult,
         barred: dict[identity.AttemptId, target_client.CallResult],
         now: int,
     ) -> list[event.AttemptEnd]:
-        """Return the ends of what was barred and is nowhere to be seen."""
-        present = {one.attempt for one in seen.running}
-        present.update(one.attempt for one in seen.ended)
-        # Another look may have reported some of them meanwhile.
+        """Return the ends of barred attempts that the poll does not show."""
+        present = {one.attempt for one in poll_result.running}
+        present.update(one.attempt for one in poll_result.ended)
+        # A concurrent poll may already have reported some of them.
         absent = [
             one for one in barred if one in self._barred and one not in present
         ]
-        for answered in barred:
-            self._barred.pop(answered, None)
+        for checked in barred:
+            self._barred.pop(checked, None)
         return [
             event.AttemptEnd(
-                one, _reason_of(barred[one]), now, detail=barred[one].value
+                one, _end_reason_of(barred[one]), now, detail=barred[one].value
             )
             for one in absent
         ]
 
     def _find_saved(
-        self, seen: target_client.PollResult
+        self, poll_result: target_client.PollResult
     ) -> tuple[event.AttemptCheckpoint, ...]:
-        fresh = tuple(
+        changed = tuple(
             event.AttemptCheckpoint(one.attempt, one.checkpoint)
-            for one in seen.running
+            for one in poll_result.running
             if one.checkpoint
             and self._checkpoints.get(one.attempt) != one.checkpoint
         )
         self._checkpoints = {
-            one.attempt: one.checkpoint for one in seen.running
+            one.attempt: one.checkpoint for one in poll_result.running
         }
-        return fresh
+        return changed
 
 
-def _reason_of(answer: target_client.CallResult) -> job.EndReason:
-    if answer is target_client.CallResult.UNHEALTHY:
+def _end_reason_of(call_result: target_client.CallResult) -> job.EndReason:
+    if call_result is target_client.CallResult.UNHEALTHY:
         return job.EndReason.REFUSED
     return job.EndReason.NEVER_STARTED
--- a/mulberrywalk/entry/session.py
+++ b/mulberrywalk/entry/session.py
@@ -1,4 +1,4 @@
-"""Sessions of targets as an entry carries them, however they are reached."""
+"""The target sessions of an entry, independent of their transport."""
 
 from __future__ import annotations
 
@@ -10,102 +10,111 @@
 from ..transport import wire
 from . import upstream
 
-_RENEWALS_S = 0.1
+_RENEWAL_INTERVAL_S = 0.1
 
 
 class TargetSession(abc.ABC):
-    """One target's session at this entry."""
+    """The session of one target at this entry."""
 
     @abc.abstractmethod
     def is_polled(self) -> bool:
-        """Return whether this entry calls the target, by the leader's word."""
+        """Return whether the leader assigned this entry to poll the target."""
 
     @abc.abstractmethod
     def command(self, commands: wire.Commands) -> None:
-        """Pass on what the leader wants the target to do."""
+        """Pass the leader's commands on to the target."""
 
     @abc.abstractmethod
     def renew(self, sequence: int) -> None:
-        """Take note that the leader has renewed the lease.
+        """Handle a renewal of the lease by the leader.
 
-        sequence is the one that the renewal was asked for with.
+        sequence is the number with which the renewal was requested.
         """
 
     @abc.abstractmethod
     def end(self) -> None:
-        """Take note that the session is over, or carried elsewhere."""
+        """Handle the end of the session or its move to another entry."""
 
     @abc.abstractmethod
     def relocate(self) -> None:
-        """Let go of the target, for this entry is stopping."""
+        """Move the target to another entry, because this one is stopping."""
 
 
 class Sessions:
-    """All sessions of this entry."""
+    """All target sessions of this entry, by session id."""
 
     def __init__(self, leader: upstream.Upstream) -> None:
-        """Take over what the leader sends for targets."""
+        """Register as the handler of the leader's messages for targets."""
         self.open: dict[identity.SessionId, TargetSession] = {}
         self._leader = leader
         self._renewals: dict[identity.SessionId, int] = {}
         leader.target_handlers = upstream.TargetHandlers(
-            self._list_called, self._command, self._renew, self._end
+            self._list_polled, self._command, self._renew, self._end
         )
 
-    def add(self, name: identity.SessionId, carried: TargetSession) -> None:
-        """Take a session in; one that was carried before is let go."""
-        present = self.open.get(name)
-        self.open[name] = carried
-        if present is not None:
-            present.end()
-
-    def remove(self, name: identity.SessionId, carried: TargetSession) -> bool:
-        """Forget a session unless another has taken its place."""
-        if self.open.get(name) is not carried:
+    def add(
+        self, name: identity.SessionId, target_session: TargetSession
+    ) -> None:
+        """Add a session; end the one that it replaces."""
+        replaced = self.open.get(name)
+        self.open[name] = target_session
+        if replaced is not None:
+            replaced.end()
+
+    def remove(
+        self, name: identity.SessionId, target_session: TargetSession
+    ) -> bool:
+        """Remove a session unless another replaced it.
+
+        Returns whether it was removed.
+        """
+        if self.open.get(name) is not target_session:
             return False
         self.open.pop(name)
         return True
 
     def request_renewal(self, name: identity.SessionId, sequence: int) -> None:
-        """Let the leader be asked to renew a lease, with others at once."""
+        """Request the renewal of a lease with the next batch."""
         self._renewals[name] = sequence
 
     async def send_renewals(self) -> None:
-        """Send the renewals of all targets in one message, for ever."""
+        """Send the requested renewals in batches until cancelled."""
         while True:
-            await anyio.sleep(_RENEWALS_S)
+            await anyio.sleep(_RENEWAL_INTERVAL_S)
             if self._renewals:
-                gathered = tuple(self._renewals.items())
+                batch = tuple(self._renewals.items())
                 self._renewals.clear()
-                self._leader.send(wire.Renewals(gathered))
+                self._leader.send(wire.Renewals(batch))
 
     def count(self) -> int:
-        """Return how many targets this entry carries."""
+        """Return the number of open sessions."""
         return len(self.open)
 
     def relocate(self) -> None:
-        """Let go of all targets."""
-        for carried in list(self.open.values()):
-            carried.relocate()
+        """Move all targets to other entries."""
+        for target_session in list(self.open.values()):
+            target_session.relocate()
 
-    def _list_called(self) -> tuple[identity.SessionId, ...]:
+    def _list_polled(self) -> tuple[identity.SessionId, ...]:
         return tuple(
-            name for name, carried in self.open.items() if carried.is_polled()
+            name
+            for name, target_session in self.open.items()
+            if target_session.is_polled()
         )
 
     def _command(self, commands: wire.Commands) -> None:
-        carried = self.open.get(commands.session)
-        if carried is not None:
-            carried.command(commands)
+        target_session = self.open.get(commands.session)
+        if target_session is not None:
+            target_session.command(commands)
 
     def _renew(self, renewed: wire.Renewed) -> None:
         for name, sequence in renewed.sessions:
-            carried = self.open.get(name)
-            if carried is not None:
-                carried.renew(sequence)
+            target_session = self.open.get(name)
+            if target_session is not None:
+                target_session.renew(sequence)
 
     def _end(self, gone: wire.Gone) -> None:
         for name in gone.sessions:
-            carried = self.open.get(name)
-            if carried is not None:
-                carried.end()
+            target_session = self.open.get(name)
+            if target_session is not None:
+                target_session.end()
--- a/mulberrywalk/entry/target_client.py
+++ b/mulberrywalk/entry/target_client.py
@@ -1,4 +1,4 @@
-"""Calls to targets, and what they answer; the lease that orders carry."""
+"""The client interface for polled targets, and their leases."""
 
 from __future__ import annotations
 
@@ -9,34 +9,35 @@
 from ..core import identity, job
 from ..transport import wire
 
-# A target's clock may be this much slow, in percent.
-_DRIFT_PERCENT = 2
-_WHOLE_PERCENT = 100
+# A target's clock may run slow by up to this many percent.
+_CLOCK_DRIFT_PERCENT = 2
+_FULL_PERCENT = 100
 
 
 class CallResult(enum.Enum):
-    """What a target said to an order."""
+    """The result of a call to a target."""
 
     DONE = 'done'
-    # A later leader has given orders here.
+    # The target has accepted calls from a later leader.
     FENCED = 'fenced'
-    # The attempt, or a later one of its task, has ended or was stopped here.
+    # The attempt or a later attempt of its task has ended or was stopped on
+    # the target, so the attempt cannot start there.
     BARRED = 'barred'
-    # The lease that the order carried had run out when it arrived.
+    # The lease in the call had expired when the call arrived.
     LEASE_EXPIRED = 'late'
     NO_CAPACITY = 'no_room'
     NO_TICKET = 'no_ticket'
     UNHEALTHY = 'unwell'
     INVALID = 'invalid'
-    # The life that the order was meant for is not there any more.
+    # The call was addressed to an earlier incarnation of the target.
     WRONG_INCARNATION = 'gone'
-    # No answer: the order may have been carried out, or may be later.
+    # No reply: the call may have taken effect or may still do so.
     NO_REPLY = 'none'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Destination:
-    """Where a target is called, and in which life."""
+    """The identity and the host:port address of a target."""
 
     target: identity.TargetId
     address: str
@@ -44,9 +45,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunningAttempt:
-    """An attempt that runs; gauge is the tail of its response times in ms.
+    """A running attempt; gauge is its tail latency in milliseconds.
 
-    The gauge of a task that serves no users is the processor that it uses.
+    For a task that serves no requests, gauge is its CPU usage.
     """
 
     attempt: identity.AttemptId
@@ -56,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndedAttempt:
-    """An attempt that has ended; number counts the ends of the life."""
+    """An ended attempt; number is its position in the incarnation's ends."""
 
     number: int
     attempt: identity.AttemptId
@@ -66,7 +67,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollResult:
-    """What a look has shown; clock_ms is the target's own clock."""
+    """The result of a poll; clock_ms is a reading of the target's clock.
+
+    born_at identifies the incarnation of the target.
+    """
 
     clock_ms: int
     born_at: int
@@ -76,11 +80,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PollRequest:
-    """A look that is to be made.
+    """The parameters of a poll.
 
-    until extends the lease to that time of the target's clock, None for not.
-    Ends up to acknowledged may be forgotten. wait_ms lets the answer wait for
-    an end.
+    lease_until_ms extends the lease to that time on the target's clock; None
+    leaves it unchanged. The target may discard ends up to the number
+    acknowledged. wait_ms is how long the target may delay its reply until an
+    attempt ends.
     """
 
     term: int
@@ -90,13 +95,13 @@
 
 
 class TargetClient(abc.ABC):
-    """Makes the calls to targets; each gives up by itself in time."""
+    """A client of targets; each call has its own timeout."""
 
     @abc.abstractmethod
     async def poll(
-        self, destination: Destination, glance: PollRequest
+        self, destination: Destination, request: PollRequest
     ) -> PollResult | CallResult:
-        """Return what a look has shown, or why there is nothing."""
+        """Poll a target; return its state, or why the poll failed."""
 
     @abc.abstractmethod
     async def start(
@@ -106,13 +111,16 @@
         lease_until_ms: int,
         term: int,
     ) -> CallResult:
-        """Start an attempt under a lease until a time of the target."""
+        """Start an attempt, with a lease that ends at lease_until_ms.
+
+        lease_until_ms is a time on the target's clock.
+        """
 
     @abc.abstractmethod
     async def stop(
         self, destination: Destination, attempt: identity.AttemptId, term: int
     ) -> CallResult:
-        """Stop an attempt, and bar it where it was not started yet."""
+        """Stop an attempt, or bar it from starting if it has not started."""
 
     @abc.abstractmethod
     async def pace(
@@ -122,7 +130,7 @@
         percent: int,
         term: int,
     ) -> CallResult:
-        """Let an attempt work at a share of its speed."""
+        """Limit an attempt to a percentage of its full speed."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -141,24 +149,28 @@
     granted_from: int | None = None
 
     def sample_clock(self, clock_ms: int, received_at: int) -> None:
-        """Take a reading of the target's clock from an answer."""
+        """Record a reading of the target's clock, taken from a reply."""
         self.clock_sample_ms = clock_ms
         self.sampled_at = received_at
 
     def expires_at(self) -> int | None:
-        """Return the end of the lease by the target's clock, or None.
+        """Return when the lease ends on the target's clock, or None if unknown.
 
-        The clock may be slow and the answer may have been under way for
-        long: both make the lease end earlier than the leader counts.
+        The target's clock may run slow and its reply may have been delayed;
+        to allow for both, this is earlier than the expiry that the leader
+        assumes.
         """
         if self.clock_sample_ms is None or self.granted_from is None:
             return None
-        left = self.granted_from + self.duration_ms - self.sampled_at
-        part = _WHOLE_PERCENT - _DRIFT_PERCENT
-        return self.clock_sample_ms + max(0, left) * part // _WHOLE_PERCENT
+        remaining = self.granted_from + self.duration_ms - self.sampled_at
+        kept_percent = _FULL_PERCENT - _CLOCK_DRIFT_PERCENT
+        return (
+            self.clock_sample_ms
+            + max(0, remaining) * kept_percent // _FULL_PERCENT
+        )
 
     def remaining_ms(self, now: int) -> int:
-        """Return how much of the lease is left, zero for none."""
+        """Return the remaining time of the lease, zero if none is left."""
         if self.clock_sample_ms is None or self.granted_from is None:
             return 0
         return max(0, self.granted_from + self.duration_ms - now)
--- a/mulberrywalk/entry/target_client_test.py
+++ b/mulberrywalk/entry/target_client_test.py
@@ -1,4 +1,4 @@
-"""The end of a lease by a target's own clock, which may be slow."""
+"""Tests for lease expiry on a target's clock, which may run slow."""
 
 from . import target_client
 
@@ -10,16 +10,16 @@
     return granted
 
 
-def test_lease_keeps_two_percent_for_a_slow_clock():
+def test_lease_expires_two_percent_early_for_a_slow_clock():
     assert lease(sampled_at=1000, granted_from=900).expires_at() == 5000 + 7742
 
 
-def test_lease_that_has_run_out_grants_nothing():
+def test_expired_lease_has_no_remaining_time():
     granted = lease(sampled_at=9000, granted_from=900)
     assert granted.expires_at() == 5000
     assert granted.remaining_ms(9000) == 0
 
 
-def test_lease_is_unknown_without_a_reading_or_a_grant():
+def test_expiry_is_unknown_without_a_clock_sample_or_a_grant():
     assert target_client.Lease(duration_ms=8000).expires_at() is None
     assert lease(sampled_at=1000, granted_from=None).expires_at() is None
--- a/mulberrywalk/entry/upstream.py
+++ b/mulberrywalk/entry/upstream.py
@@ -1,4 +1,4 @@
-"""The entry's stream to the leader, and the calls made over it."""
+"""The stream from an entry to the leader, and calls over it."""
 
 from __future__ import annotations
 
@@ -14,30 +14,31 @@
 from ..transport import channel, wire
 from . import address, pending
 
-# An entry that could not prove for this long that its configuration is
-# current takes no new work.
+# An entry accepts no new work once the leader has not confirmed its
+# configuration as current for this long.
 CONFIGURATION_MAX_AGE_MS = 3000
-_REDIAL_S = 0.1
-_POLL_S = 0.02
+_REDIAL_DELAY_S = 0.1
+_POLL_INTERVAL_S = 0.02
 
 MessageHandler = Callable[[Any], None]
 LeaderStream = channel.Stream[wire.FromEntryBatch, wire.ToEntryBatch]
 
 
 class RedirectError(ConnectionError):
-    """The replica does not lead; the address is the leader's or empty."""
+    """The replica is not the leader; address is the leader's or empty."""
 
     def __init__(self, address: str) -> None:
-        """Keep the address to dial next."""
+        """Store the address to dial next."""
         super().__init__(f'redirected to {address}')
         self.address = address
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetHandlers:
-    """Who takes what the leader sends for targets.
+    """Handlers of the leader's messages for targets.
 
-    carried returns the called targets that the entry has, for a new leader.
+    list_polled returns the sessions of the targets that this entry polls, to
+    be sent to a new leader.
     """
 
     list_polled: Callable[[], tuple[identity.SessionId, ...]]
@@ -47,17 +48,17 @@
 
 
 class Upstream:
-    """Keeps one stream to the leader, wherever it is."""
+    """Maintains a stream to the current leader."""
 
     def __init__(
         self,
         addresses: tuple[str, ...],
-        lines: journal.Journal,
+        event_log: journal.Journal,
         meter: cost.Meter,
         *,
         configuration_max_age_ms: int = CONFIGURATION_MAX_AGE_MS,
     ) -> None:
-        """Prepare; run dials the replicas in turn.
+        """Set up the state; run dials the replicas.
 
         configuration_max_age_ms is how long the configuration counts as
         current after the leader last confirmed it.
@@ -65,98 +66,103 @@
         self.on_assignment: Callable[[wire.Assignment], None] | None = None
         self.on_advice_wanted: Callable[[wire.AdviceWanted], None] | None = None
         self.is_stopping = False
-        self._current_ms = configuration_max_age_ms
+        self._configuration_max_age_ms = configuration_max_age_ms
         self.configuration: configuration.Configuration | None = None
         self.target_handlers: TargetHandlers | None = None
         self.addresses = address.ReplicaAddresses(addresses)
-        self._journal = lines
+        self._event_log = event_log
         self._meter = meter
         self._calls = pending.PendingCalls()
         self._outbox: channel.Outbox[wire.FromEntry] = channel.Outbox()
         self._confirmed_at = -configuration_max_age_ms
-        self._is_linked = False
-        self._takers: MappingProxyType[Any, MessageHandler] = MappingProxyType(
-            {
-                wire.Redirect: self._follow,
-                wire.Reply: self._calls.complete,
-                wire.LeaderPulse: self._take_pulse,
-                wire.ConfigurationChanged: self._take_configuration,
-                wire.MembersChanged: self._take_members,
-                wire.Assignment: self._take_assignment,
-                wire.AdviceWanted: self._take_question,
-            }
+        self._is_connected = False
+        self._handlers: MappingProxyType[Any, MessageHandler] = (
+            MappingProxyType(
+                {
+                    wire.Redirect: self._handle_redirect,
+                    wire.Reply: self._calls.complete,
+                    wire.LeaderPulse: self._handle_pulse,
+                    wire.ConfigurationChanged: self._handle_configuration,
+                    wire.MembersChanged: self._handle_members,
+                    wire.Assignment: self._handle_assignment,
+                    wire.AdviceWanted: self._handle_advice_wanted,
+                }
+            )
         )
 
     def is_current(self) -> bool:
-        """Return whether the configuration was proved current lately."""
+        """Return whether the configuration was recently confirmed."""
         is_known = self.configuration is not None
-        return is_known and self.confirmation_age_ms() < self._current_ms
+        return (
+            is_known
+            and self.confirmation_age_ms() < self._configuration_max_age_ms
+        )
 
     async def wait_until_current(self, seconds: float) -> bool:
-        """Return whether the configuration is, or soon was, proved current."""
+        """Wait up to seconds for is_current, and return its value."""
         with anyio.move_on_after(seconds):
             while not self.is_current():
-                await anyio.sleep(_POLL_S)
+                await anyio.sleep(_POLL_INTERVAL_S)
         return self.is_current()
 
     def confirmation_age_ms(self) -> int:
-        """Return how long ago the configuration was proved current."""
+        """Return the time since the configuration was last confirmed."""
         return clock.monotonic_ms() - self._confirmed_at
 
     async def call(
         self, request: wire.Request, seconds: float
     ) -> dict[str, Any] | None:
-        """Return the reply to a request, or None when none came in time."""
+        """Return the reply to a request, or None on a timeout."""
         return (await self._ask(request, seconds)).body
 
     async def propose(
         self, request: wire.Request, seconds: float
     ) -> dict[str, Any] | None:
-        """Return the reply, or a refusal when the request never left here.
+        """Return the reply, or a refusal when the request was never sent.
 
-        None tells, as for call, that a leader may have taken it.
+        None means that a leader may have processed the request.
         """
         return (await self._ask(request, seconds)).reply_or_refusal()
 
     def send(self, message: wire.FromEntry) -> None:
-        """Send a message that nobody waits for; dropped without a leader."""
-        self._put(message)
+        """Send a message without a reply; dropped when there is no stream."""
+        self._enqueue(message)
 
     async def run(self) -> None:
-        """Dial the replicas for ever, the leader first when it is known."""
+        """Dial the replicas until cancelled, a known leader first."""
         preferred = ''
         while True:
             dialled = preferred or self.addresses.next(clock.monotonic_ms())
             try:
-                await self._serve_link(dialled)
+                await self._serve_connection(dialled)
             except* RedirectError as errors:
                 preferred = _first_address(errors)
             except* ConnectionError:
                 preferred = ''
                 self.addresses.mark_failed(dialled, clock.monotonic_ms())
-            self._is_linked = False
-            await anyio.sleep(_REDIAL_S)
+            self._is_connected = False
+            await anyio.sleep(_REDIAL_DELAY_S)
 
     async def _ask(
         self, request: wire.Request, seconds: float
     ) -> pending.PendingCall:
-        with self._calls.open(request) as asked:
-            self._put(asked.message)
+        with self._calls.open(request) as pending_call:
+            self._enqueue(pending_call.message)
             with anyio.move_on_after(seconds):
-                await asked.done.wait()
-            return asked
+                await pending_call.done.wait()
+            return pending_call
 
-    def _put(self, message: wire.FromEntry) -> None:
-        if self._is_linked:
+    def _enqueue(self, message: wire.FromEntry) -> None:
+        if self._is_connected:
             self._outbox.put(message)
 
-    async def _serve_link(self, replica: str) -> None:
+    async def _serve_connection(self, replica: str) -> None:
         async with channel.dial(replica) as dialled:
             stream = channel.open_stream(
                 dialled, channel.LINK, wire.ToEntryBatch, self._meter
             )
             self._outbox = channel.Outbox()
-            self._is_linked = True
+            self._is_connected = True
             if self.target_handlers is not None:
                 self._outbox.put(
                     wire.Carried(self.target_handlers.list_polled())
@@ -171,13 +177,13 @@
         messages: tuple[wire.FromEntry, ...] = ()
         while True:
             await stream.send(self._batch((*messages, self._pulse())))
-            taken = await self._outbox.take(channel.PULSE_S)
-            messages = tuple(filter(self._calls.mark_sent, taken))
+            queued = await self._outbox.take(channel.PULSE_S)
+            messages = tuple(filter(self._calls.mark_sent, queued))
 
     async def _read(self, stream: LeaderStream) -> None:
         while True:
             batch = await stream.receive()
-            self._journal.clock.witness(batch.clock)
+            self._event_log.clock.witness(batch.clock)
             for message in batch.messages:
                 self._receive(message)
 
@@ -192,47 +198,47 @@
     def _batch(
         self, messages: tuple[wire.FromEntry, ...]
     ) -> wire.FromEntryBatch:
-        origin = self._journal.origin
+        origin = self._event_log.origin
         return wire.FromEntryBatch(
             origin.process,
             origin.data_centre,
-            self._journal.clock.read(),
+            self._event_log.clock.read(),
             messages,
         )
 
     def _receive(self, message: wire.ToEntry) -> None:
-        taker = self._takers.get(type(message))
-        if taker is not None:
-            taker(message)
+        handle_message = self._handlers.get(type(message))
+        if handle_message is not None:
+            handle_message(message)
         elif self.target_handlers is not None:
-            _take_for_targets(self.target_handlers, message)
+            _dispatch_to_targets(self.target_handlers, message)
 
-    def _follow(self, redirect: wire.Redirect) -> None:
+    def _handle_redirect(self, redirect: wire.Redirect) -> None:
         raise RedirectError(redirect.address)
 
-    def _take_members(self, changed: wire.MembersChanged) -> None:
+    def _handle_members(self, changed: wire.MembersChanged) -> None:
         self.addresses.replace(changed.addresses)
 
-    def _take_assignment(self, assigned: wire.Assignment) -> None:
+    def _handle_assignment(self, assigned: wire.Assignment) -> None:
         if self.on_assignment is not None:
             self.on_assignment(assigned)
 
-    def _take_question(self, wanted: wire.AdviceWanted) -> None:
+    def _handle_advice_wanted(self, wanted: wire.AdviceWanted) -> None:
         if self.on_advice_wanted is not None:
             self.on_advice_wanted(wanted)
 
-    def _take_pulse(self, pulse: wire.LeaderPulse) -> None:
+    def _handle_pulse(self, pulse: wire.LeaderPulse) -> None:
         current = self.configuration
         if current is not None and current.version == pulse.version:
             self._confirmed_at = max(self._confirmed_at, pulse.echo)
 
-    def _take_configuration(self, changed: wire.ConfigurationChanged) -> None:
-        # A deposed leader's stream may still deliver an older version.
+    def _handle_configuration(self, changed: wire.ConfigurationChanged) -> None:
+        # The stream of a deposed leader may still deliver an older version.
         received = changed.configuration
         current = self.configuration
         if current is None or received.version >= current.version:
             self.configuration = received
-            self._journal.record('configured', f'version {received.version}')
+            self._event_log.record('configured', f'version {received.version}')
 
 
 def _first_address(errors: BaseExceptionGroup[RedirectError]) -> str:
@@ -246,7 +252,7 @@
     )
 
 
-def _take_for_targets(
+def _dispatch_to_targets(
     target_handlers: TargetHandlers, message: wire.ToEntry
 ) -> None:
     if isinstance(message, wire.Commands):
