--- a/mulberrywalk/core/evacuation.py
+++ b/mulberrywalk/core/evacuation.py
@@ -19,7 +19,7 @@
     tables: state.State, session: identity.SessionId, remaining_ms: int
 ) -> None:
     """Stop what would not end within the remaining time, to go on elsewhere."""
-    for name in sorted(tables.by_session.get(session, ())):
+    for name in sorted(tables.attempts_by_session.get(session, ())):
         attempt = tables.attempts[name]
         if attempt.started_at and not _ends_in(tables, attempt, remaining_ms):
             lifecycle.stop(tables, attempt, job.StopReason.EVACUATED)
@@ -36,7 +36,7 @@
     if isinstance(needs, job.StepSpecification) and needs.is_lasting:
         return False
     slowness = speed.slowness_of(tables, attempt.target)
-    whole = needs.estimate_ms * slowness // speed.AVERAGE
+    whole = needs.estimate_ms * slowness // speed.AVERAGE_SLOWNESS
     passed = tables.time - attempt.started_at
     left = max(whole - passed, whole // _OVERRUN_PART)
     return left + _REPORT_MS < remaining_ms
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -196,7 +196,7 @@
             version=read.version,
             queues=tuple(_queue_of(route) for route in read.routes),
             pools=tuple(
-                configuration.PoolTerms(one.name, one.standby)
+                configuration.PoolSettings(one.name, one.standby)
                 for one in read.services
             ),
             max_body_bytes=read.limits.max_body_bytes,
@@ -229,7 +229,9 @@
     return hashlib.sha256(body).hexdigest()
 
 
-def read_heartbeat(name: str, body: bytes, lease_ms: int) -> registry.Sighting:
+def read_heartbeat(
+    name: str, body: bytes, lease_ms: int
+) -> registry.TargetHeartbeat:
     """Return what a worker says of itself; raises WireError."""
     with reading.refused_as(WireError):
         return _sighting_of(name, _heartbeats.decode(body), lease_ms)
@@ -237,7 +239,7 @@
 
 def _sighting_of(
     name: str, read: Heartbeat, lease_ms: int
-) -> registry.Sighting:
+) -> registry.TargetHeartbeat:
     if read.state not in {_READY, _DRAINING}:
         raise WireError('the state is not known')
     if not bound.is_address(read.address):
@@ -262,7 +264,7 @@
         born_at=read.born,
         lease_ms=lease_ms,
     )
-    return registry.Sighting(
+    return registry.TargetHeartbeat(
         announcement,
         read.seq,
         is_leaving=read.state == _DRAINING,
@@ -373,11 +375,11 @@
     )
 
 
-def _terms_of(advice: Advice | None) -> job.AdviceTerms | None:
+def _terms_of(advice: Advice | None) -> job.AdviceSettings | None:
     if advice is None or not advice.valid_ms:
         return None
     per_worker_us = int(advice.per_worker_ms * _US_PER_MS)
-    return job.AdviceTerms(
+    return job.AdviceSettings(
         min(int(advice.decision_ms), job.MAX_RUN_MS),
         min(per_worker_us, job.MAX_RUN_MS),
         min(max(1, int(advice.valid_ms)), job.MAX_RUN_MS),
