--- a/mulberrywalk/entry/adviser.py
+++ b/mulberrywalk/entry/adviser.py
@@ -63,11 +63,11 @@
     async def _ask(self, wanted: wire.AdviceWanted) -> None:
         started_at = clock.monotonic_ms()
         allowed = await self._client.advise(wanted.step, wanted.targets)
-        took_ms = clock.monotonic_ms() - started_at
-        count = 'failed' if allowed is None else str(len(allowed))
+        rtt_ms = clock.monotonic_ms() - started_at
+        summary = 'failed' if allowed is None else str(len(allowed))
         self._event_log.record(
             'advice',
-            f'{wanted.step}: {count} of {len(wanted.targets)} in {took_ms} ms',
+            f'{wanted.step}: {summary} of {len(wanted.targets)} in {rtt_ms} ms',
             job=wanted.step.split('.')[0],
         )
         queried = () if allowed is None else wanted.targets
--- a/mulberrywalk/entry/polled.py
+++ b/mulberrywalk/entry/polled.py
@@ -213,8 +213,8 @@
         call_result = target_client.CallResult.NO_REPLY
         for _ in range(_MAX_TRIES):
             lease_until_ms = self._lease.expires_at()
-            remaining_ms = self._lease.remaining_ms(clock.monotonic_ms())
-            if lease_until_ms is None or remaining_ms < _MIN_LEASE_MS:
+            lease_left_ms = self._lease.remaining_ms(clock.monotonic_ms())
+            if lease_until_ms is None or lease_left_ms < _MIN_LEASE_MS:
                 # The leader resends the start.
                 self._log('start delayed: no valid lease', command.attempt)
                 return
--- a/mulberrywalk/entry/polled_test.py
+++ b/mulberrywalk/entry/polled_test.py
@@ -92,7 +92,7 @@
     return found[0]
 
 
-def assignment(term=7, **more):
+def assignment(term=7, **overrides):
     return wire.Assignment(
         session=SESSION,
         target=TARGET,
@@ -100,11 +100,11 @@
         born_at=BORN_AT,
         term=term,
         lease_ms=8000,
-        **more,
+        **overrides,
     )
 
 
-def command(attempt, **more):
+def command(attempt, **overrides):
     return wire.StartCommand(
         attempt=attempt,
         task=attempt.split('/')[0],
@@ -113,11 +113,11 @@
         accelerators=0,
         estimate_ms=1,
         payload='',
-        **more,
+        **overrides,
     )
 
 
-def run_session(target, scenario, **more):
+def run_session(target, scenario, **overrides):
     """Run a session against a target while the scenario drives it."""
     leader = FakeLeader()
     sessions = session.Sessions(leader)
@@ -125,7 +125,7 @@
 
     async def run():
         polled_session = polled.PolledSession(
-            assignment(**more), target, leader, sessions, event_log
+            assignment(**overrides), target, leader, sessions, event_log
         )
         sessions.add(SESSION, polled_session)
         async with anyio.create_task_group() as group:
@@ -236,7 +236,7 @@
 
 
 @pytest.mark.parametrize(
-    ('answer', 'reason'),
+    ('call_result', 'reason'),
     [
         (target_client.CallResult.NO_CAPACITY, job.EndReason.NEVER_STARTED),
         (target_client.CallResult.NO_TICKET, job.EndReason.NEVER_STARTED),
@@ -244,10 +244,10 @@
     ],
 )
 def test_refused_start_is_barred_before_it_counts_as_not_started(
-    answer, reason
+    call_result, reason
 ):
     target = FakeTarget()
-    target.start_result = answer
+    target.start_result = call_result
 
     async def scenario(polled_session, leader):
         polled_session.command(
@@ -262,7 +262,7 @@
     assert target.stops == [FIRST]
     ended = single(leader.reports('ended'))
     assert ended.reason is reason
-    assert ended.detail == answer.value
+    assert ended.detail == call_result.value
 
 
 def test_stopped_attempt_that_still_runs_is_not_reported_as_ended():
--- a/mulberrywalk/entry/protocol.py
+++ b/mulberrywalk/entry/protocol.py
@@ -140,7 +140,7 @@
 
 
 class Renewed(msgspec.Struct, frozen=True, tag_field=_TAG_FIELD, tag='renewed'):
-    """Renews the lease from the time when that renew was sent."""
+    """Extends the lease from when the renew with that sequence was sent."""
 
     sequence: int
     clock: int
--- a/mulberrywalk/entry/reporting.py
+++ b/mulberrywalk/entry/reporting.py
@@ -81,9 +81,9 @@
     def _find_started(
         self, poll_result: target_client.PollResult
     ) -> list[identity.AttemptId]:
-        running = [one.attempt for one in poll_result.running]
-        started = [one for one in running if one not in self._confirmed]
-        self._confirmed = set(running)
+        attempts = [one.attempt for one in poll_result.running]
+        started = [one for one in attempts if one not in self._confirmed]
+        self._confirmed = set(attempts)
         return started
 
     def _find_ended(
--- a/mulberrywalk/entry/session.py
+++ b/mulberrywalk/entry/session.py
@@ -37,7 +37,7 @@
 
     @abc.abstractmethod
     def relocate(self) -> None:
-        """Move the target to another entry, because this one is stopping."""
+        """Let the target move to another entry, as this one is stopping."""
 
 
 class Sessions:
@@ -91,7 +91,7 @@
         return len(self.open)
 
     def relocate(self) -> None:
-        """Move all targets to other entries."""
+        """Let all targets move to other entries."""
         for target_session in list(self.open.values()):
             target_session.relocate()
 
--- a/mulberrywalk/entry/target_client.py
+++ b/mulberrywalk/entry/target_client.py
@@ -29,7 +29,7 @@
     NO_TICKET = 'no_ticket'
     UNHEALTHY = 'unwell'
     INVALID = 'invalid'
-    # The call was addressed to an earlier incarnation of the target.
+    # The call was addressed to an incarnation of the target that is gone.
     WRONG_INCARNATION = 'gone'
     # No reply: the call may have taken effect or may still do so.
     NO_REPLY = 'none'
