--- a/mulberrywalk/entry/filler.py
+++ b/mulberrywalk/entry/filler.py
@@ -27,7 +27,7 @@
         )
         self._sent_percent.setdefault(start.attempt, pacing.FULL_PERCENT)
 
-    def forget(self, attempt: identity.AttemptId) -> None:
+    def remove(self, attempt: identity.AttemptId) -> None:
         """Remove an attempt that has ended."""
         self._shares.pop(attempt, None)
         self._sent_percent.pop(attempt, None)
--- a/mulberrywalk/entry/polled.py
+++ b/mulberrywalk/entry/polled.py
@@ -200,11 +200,11 @@
     ) -> None:
         report = self._reports.build(poll_result, barred, clock.monotonic_ms())
         for listed in poll_result.ended:
-            self._pacer.forget(listed.attempt)
+            self._pacer.remove(listed.attempt)
         if report is None:
             return
         for ended in report.ended:
-            self._pacer.forget(ended.attempt)
+            self._pacer.remove(ended.attempt)
         self._leader.send(report)
 
     async def _start(self, command: wire.StartCommand, term: int) -> None:
--- a/mulberrywalk/entry/target_client.py
+++ b/mulberrywalk/entry/target_client.py
@@ -154,7 +154,7 @@
         self.sampled_at = received_at
 
     def expires_at(self) -> int | None:
-        """Return when the lease ends on the target's clock, or None if unknown.
+        """Return the lease end in ms on the target's clock, None if unknown.
 
         The target's clock may run slow and its reply may have been delayed;
         to allow for both, this is earlier than the expiry that the leader
