--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -55,9 +55,9 @@
     record = _create_job(tables, submitted)
     tables.jobs[record.job] = record
     tables.requests[request] = record.job
-    lifecycle.count_pending(tables, record, 1)
+    lifecycle.adjust_pending(tables, record, 1)
     if specification.kind is job.Kind.WORKFLOW:
-        workflow.begin(tables, record)
+        workflow.schedule_first_occurrence(tables, record)
     for number, _ in enumerate(specification.tasks):
         queueing.add_task(tables, _create_task(record, number))
     tables.emit(
@@ -82,7 +82,7 @@
         record = msgspec.structs.replace(record, is_cancelled=True)
         tables.jobs[record.job] = record
         for task in lifecycle.tasks_of(tables, record):
-            lifecycle.call_off(tables, task, job.StopReason.CANCELLED)
+            lifecycle.cancel_task(tables, task, job.StopReason.CANCELLED)
         workflow.drop_occurrences(tables, record.job)
     return outcome.Cancelled(record.job, tables.jobs[record.job].state)
 
@@ -192,7 +192,7 @@
     refusal: outcome.NotRun,
 ) -> outcome.Outcome:
     prune_refusals(tables)
-    if len(tables.refusals) >= state.REFUSALS_KEPT:
+    if len(tables.refusals) >= state.MAX_REFUSAL_RECORDS:
         # Without a record, a delayed duplicate of the request could still
         # run, so the answer must not be a final refusal.
         return outcome.Unavailable(
@@ -208,7 +208,7 @@
 
 def prune_refusals(tables: state.State) -> None:
     """Delete refusals that are too old for a duplicate still to arrive."""
-    oldest_kept = tables.time - state.REFUSAL_KEPT_MS
+    oldest_kept = tables.time - state.REFUSAL_RETENTION_MS
     while tables.refusals:
         request = next(iter(tables.refusals))
         if tables.refusals[request].at >= oldest_kept:
--- a/mulberrywalk/core/advice_prefetch.py
+++ b/mulberrywalk/core/advice_prefetch.py
@@ -23,27 +23,29 @@
     for name in sorted(tables.silent):
         session = tables.targets[name].session
         if session is not None:
-            _request_advice(tables, session)
+            _prefetch_for_session(tables, session)
 
 
-def _request_advice(tables: state.State, session: identity.SessionId) -> None:
+def _prefetch_for_session(
+    tables: state.State, session: identity.SessionId
+) -> None:
     expires_at = _lease_expires_at(tables, session)
-    attempts = sorted(tables.by_session.get(session, ()))
+    attempts = sorted(tables.attempts_by_session.get(session, ()))
     steps = dict.fromkeys(
         tables.tasks[tables.attempts[name].task].step_id() for name in attempts
     )
     for name in steps:
         if name in tables.steps and _is_request_due(tables, name, expires_at):
             eligible = step_placement.find_eligible_targets(tables, name)
-            advice.ask(tables, tables.steps[name], eligible)
+            advice.request_advice(tables, tables.steps[name], eligible)
 
 
 def _lease_expires_at(tables: state.State, session: identity.SessionId) -> int:
     """Return when the lease of a silent target has certainly expired."""
     record = tables.sessions[session]
     silence = tables.targets[record.target].silence
-    heard_at = silence.heard_at() if silence else tables.time
-    return heard_at + record.lease_ms + target.MARGIN_MS
+    heard_at = silence.last_heard_at() if silence else tables.time
+    return heard_at + record.lease_ms + target.LEASE_MARGIN_MS
 
 
 def _is_request_due(
@@ -53,5 +55,7 @@
     terms = tables.jobs[step.job].specification.advice
     if terms is None or not tables.step_specification(step).is_lasting:
         return False
-    request_from = expires_at - advice.longest_ms(terms) - _LOG_DELAY_MS
-    return tables.time >= request_from and not advice.find_valid(tables, step)
+    request_from = expires_at - advice.max_answer_ms(terms) - _LOG_DELAY_MS
+    return tables.time >= request_from and not advice.find_valid_tickets(
+        tables, step
+    )
--- a/mulberrywalk/core/dispatch.py
+++ b/mulberrywalk/core/dispatch.py
@@ -56,7 +56,7 @@
     """Release tasks and jobs that are due, then place all tasks that fit."""
     workflow.release_due(tables)
     tables.waiting.exhausted_steps.clear()
-    health.release_due(tables)
+    health.end_due_quarantines(tables)
     admission.prune_finished(tables)
     gang.review_reservation(tables)
     if tables.waiting.steps:
@@ -74,35 +74,35 @@
     ]
     for name in names:
         if name in tables.waiting.steps:
-            workflow.put_back(tables, identity.StepId(name))
+            workflow.demote_if_worthless(tables, identity.StepId(name))
 
 
 def _serve_queues(tables: state.State) -> None:
-    fairness = share.assess(tables)
+    fair_shares = share.compute_fair_shares(tables)
     entries = [
-        priority_of(tables, key, fairness) for key in tables.waiting.queues
+        priority_of(tables, key, fair_shares) for key in tables.waiting.queues
     ]
     heapq.heapify(entries)
     while entries:
         entry = heapq.heappop(entries)
         key = waiting.QueueKey(entry.rank, entry.team)
-        current = priority_of(tables, key, fairness)
+        current = priority_of(tables, key, fair_shares)
         if current > entry:
             # Usage has grown since this entry was pushed.
             heapq.heappush(entries, current)
         elif serve(tables, key, current) and key in tables.waiting.queues:
-            heapq.heappush(entries, priority_of(tables, key, fairness))
+            heapq.heappush(entries, priority_of(tables, key, fair_shares))
 
 
 def priority_of(
-    tables: state.State, key: waiting.QueueKey, fairness: share.Fairness
+    tables: state.State, key: waiting.QueueKey, fair_shares: share.FairShares
 ) -> QueuePriority:
     """Return the priority of a queue at the current usage."""
     document = tables.configuration.document
     weight = configuration.team_limits(document, key.team).weight
     used = share.of_team(tables, key.team)
     weighted_share = used * configuration.NORMAL_WEIGHT // weight
-    fair_share = fairness.due(weight)
+    fair_share = fair_shares.entitlement(weight)
     is_above_fair_share = used >= fair_share
     return QueuePriority(
         share.is_above_floor(tables, _URGENCIES[key.rank]),
--- a/mulberrywalk/core/evacuation.py
+++ b/mulberrywalk/core/evacuation.py
@@ -20,7 +20,7 @@
     tables: state.State, session: identity.SessionId, remaining_ms: int
 ) -> None:
     """Stop attempts that would not end in time, so that they run elsewhere."""
-    for name in sorted(tables.by_session.get(session, ())):
+    for name in sorted(tables.attempts_by_session.get(session, ())):
         attempt = tables.attempts[name]
         if attempt.started_at and not _ends_within(
             tables, attempt, remaining_ms
--- a/mulberrywalk/core/lifecycle.py
+++ b/mulberrywalk/core/lifecycle.py
@@ -41,15 +41,15 @@
 )
 
 
-def call_off(
+def cancel_task(
     tables: state.State, task: job.Task, reason: job.StopReason
 ) -> None:
     """End a task that has not started, and stop one that is live."""
     if task.state is job.TaskState.BLOCKED:
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.state is job.TaskState.WAITING:
         queueing.remove_task(tables, task)
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif task.attempt is not None:
         stop(tables, tables.attempts[task.attempt], reason)
 
@@ -92,7 +92,7 @@
     trace(tables, 'placed', attempt, trace_detail.for_placement(tables, task))
 
 
-def start(tables: state.State, started: event.AttemptStart) -> None:
+def record_start(tables: state.State, started: event.AttemptStart) -> None:
     """Record that a target has confirmed a start."""
     attempt = tables.attempts.get(started.attempt)
     if attempt is None or attempt.started_at:
@@ -112,7 +112,9 @@
     trace(tables, 'started', attempt, told)
 
 
-def save(tables: state.State, saved: event.AttemptCheckpoint) -> None:
+def record_checkpoint(
+    tables: state.State, saved: event.AttemptCheckpoint
+) -> None:
     """Keep what a running attempt has saved, for the next one."""
     task = tables.tasks[tables.attempts[saved.attempt].task]
     if task.state not in job.FINAL_TASK_STATES:
@@ -133,7 +135,7 @@
     trace(tables, 'stopping', stopped, reason.value)
 
 
-def end(tables: state.State, ended: event.AttemptEnd) -> None:
+def record_end(tables: state.State, ended: event.AttemptEnd) -> None:
     """Record the known end of an attempt and decide what follows."""
     attempt = tables.attempts.get(ended.attempt)
     if attempt is None:
@@ -149,20 +151,22 @@
         _set_job_running(tables, task.job)
     specification = tables.specification(task)
     if specification.kind is job.Kind.WORKFLOW:
-        workflow.end_attempt(tables, task, attempt, ended)
+        workflow.handle_attempt_end(tables, task, attempt, ended)
         return
     is_service = specification.kind is job.Kind.SERVICE
     if ended.reason is job.EndReason.COMPLETED and not is_service:
-        finish(tables, task, job.TaskState.COMPLETED)
+        finish_task(tables, task, job.TaskState.COMPLETED)
     elif tables.jobs[task.job].is_cancelled:
-        finish(tables, task, job.TaskState.CANCELLED)
+        finish_task(tables, task, job.TaskState.CANCELLED)
     elif _may_run_again(specification, ended.reason):
         _try_again(tables, task, attempt, ended.reason)
     else:
-        finish(tables, task, _final_state(ended.reason))
+        finish_task(tables, task, _final_state(ended.reason))
 
 
-def finish(tables: state.State, task: job.Task, final: job.TaskState) -> None:
+def finish_task(
+    tables: state.State, task: job.Task, final: job.TaskState
+) -> None:
     """Give a task its final state, and its job when it was the last."""
     tables.tasks[task.task] = msgspec.structs.replace(
         task, state=final, ended_at=tables.time, attempt=None
@@ -186,7 +190,7 @@
     ]
 
 
-def count_pending(tables: state.State, record: job.Job, change: int) -> None:
+def adjust_pending(tables: state.State, record: job.Job, change: int) -> None:
     """Change how many jobs of a queue have not begun."""
     queue = record.specification.queue
     if queue:
@@ -275,7 +279,7 @@
 ) -> None:
     record = tables.jobs[task.job]
     if reason is job.EndReason.COMPLETED:
-        retry.credit(tables, record.specification.team)
+        retry.credit_budget(tables, record.specification.team)
         health.record_success(tables, attempt.target)
         tables.jobs[task.job] = msgspec.structs.replace(
             record, completions=record.completions + 1
@@ -283,7 +287,7 @@
     elif reason is job.EndReason.FAILED:
         _blame(tables, attempt, record)
     elif _is_target_at_fault(attempt, reason):
-        health.distrust(tables, attempt.target)
+        health.mark_unsteady(tables, attempt.target)
 
 
 def _blame(tables: state.State, attempt: job.Attempt, record: job.Job) -> None:
@@ -310,7 +314,7 @@
 def _may_run_again(
     specification: job.Specification, reason: job.EndReason
 ) -> bool:
-    if reason in job.UNSTARTED:
+    if reason in job.NEVER_RAN_REASONS:
         return True
     if reason is job.EndReason.ANSWER_TOO_LARGE:
         return False
@@ -326,14 +330,14 @@
     not_before = 0
     if reason in {job.EndReason.FAILED, job.EndReason.COMPLETED}:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
-        not_before = tables.time + retry.delay(
+        not_before = tables.time + retry.charge_retry(
             tables, tables.specification(task).team, task.failures
         )
     elif reason is job.EndReason.SESSION_LOST and attempt.started_at:
         # What never started has not taken the target down.
         task = msgspec.structs.replace(task, losses=task.losses + 1)
     if retry.is_exhausted(tables, task):
-        finish(tables, task, job.TaskState.FAILED)
+        finish_task(tables, task, job.TaskState.FAILED)
         return
     queueing.requeue(tables, task, not_before)
 
@@ -347,7 +351,7 @@
 def _set_job_running(tables: state.State, identifier: identity.JobId) -> None:
     record = tables.jobs[identifier]
     if record.state is job.JobState.QUEUED:
-        count_pending(tables, record, -1)
+        adjust_pending(tables, record, -1)
         tables.jobs[identifier] = msgspec.structs.replace(
             record, state=job.JobState.RUNNING
         )
@@ -360,7 +364,7 @@
         states.add(job.TaskState.CANCELLED)
     worst = next(one for one in _WORST_FIRST if one in states)
     if record.state is job.JobState.QUEUED:
-        count_pending(tables, record, -1)
+        adjust_pending(tables, record, -1)
     tables.jobs[record.job] = msgspec.structs.replace(
         record, state=_FINAL_STATES[worst], ended_at=tables.time
     )
--- a/mulberrywalk/core/preemption.py
+++ b/mulberrywalk/core/preemption.py
@@ -40,7 +40,7 @@
     if waited_ms < _MIN_WAIT_MS:
         return
     max_stopping = min(_MAX_STOPPING, tables.waiting.counts[key])
-    if tables.preempting >= max_stopping:
+    if tables.preempting_attempts >= max_stopping:
         return
     victim = choose_victim(tables, urgency, task)
     if victim is not None:
@@ -73,7 +73,7 @@
     gang_job: identity.JobId | None,
 ) -> job.Attempt | None:
     latest = itertools.islice(
-        reversed(tables.by_urgency[urgency]), _MAX_SCANNED
+        reversed(tables.attempts_by_urgency[urgency]), _MAX_SCANNED
     )
     return next(
         (
--- a/mulberrywalk/core/queueing.py
+++ b/mulberrywalk/core/queueing.py
@@ -10,7 +10,7 @@
 def add_task(tables: state.State, task: job.Task) -> None:
     """Add a waiting task to its queue, the delayed or the infeasible tasks."""
     tables.tasks[task.task] = task
-    state.note_absence(tables, task)
+    state.mark_absent(tables, task)
     tables.waiting.adjust_count(key_of(tables, task), 1)
     if task.not_before > tables.time:
         tables.waiting.delayed.add((task.not_before, task.task))
--- a/mulberrywalk/core/reducer.py
+++ b/mulberrywalk/core/reducer.py
@@ -14,7 +14,7 @@
     admission,
     advice,
     advice_prefetch,
-    amendment,
+    configuration_update,
     confirmation,
     dispatch,
     effect,
@@ -62,34 +62,34 @@
 def _depart(
     tables: state.State, occurred: event.DepartureAnnounced
 ) -> outcome.Outcome:
-    return session.depart(tables, occurred.session, occurred.remaining_ms)
+    return session.drain(tables, occurred.session, occurred.remaining_ms)
 
 
 def _resume(
     tables: state.State, occurred: event.LeadershipBegun
 ) -> outcome.Outcome:
-    tables.led_from = tables.time
+    tables.leader_since = tables.time
     return outcome.Recorded()
 
 
 def _note_silence(
     tables: state.State, occurred: event.SilenceNoted
 ) -> outcome.Outcome:
-    return session.note_silence(tables, occurred.session, occurred.quiet_ms)
+    return session.record_silence(tables, occurred.session, occurred.quiet_ms)
 
 
 def _report(
     tables: state.State, occurred: event.ReportReceived
 ) -> outcome.Outcome:
-    recorded = session.report(tables, occurred)
-    usage.correct(tables, occurred)
+    recorded = session.record_report(tables, occurred)
+    usage.apply_reported_usage(tables, occurred)
     return recorded
 
 
 def _pass_time(
     tables: state.State, occurred: event.TimePassed
 ) -> outcome.Outcome:
-    confirmation.review(tables)
+    confirmation.stop_overdue_starts(tables)
     dispatch.run(tables)
     advice_prefetch.prefetch(tables)
     return outcome.Recorded()
@@ -106,9 +106,9 @@
             event.SilenceNoted: _note_silence,
             event.DepartureAnnounced: _depart,
             event.ReportReceived: _report,
-            event.ConfigurationPatched: amendment.patch,
-            event.ConfigurationReplaced: amendment.replace,
-            event.AdviceReceived: advice.receive,
+            event.ConfigurationPatched: configuration_update.patch,
+            event.ConfigurationReplaced: configuration_update.replace,
+            event.AdviceReceived: advice.record_answer,
             event.TimePassed: _pass_time,
         }
     )
--- a/mulberrywalk/core/step_placement.py
+++ b/mulberrywalk/core/step_placement.py
@@ -25,7 +25,7 @@
 
 # Maximum number of targets considered for a step without an adviser.
 _MAX_CANDIDATES = 64
-_AVOIDED_END_REASONS = job.UNSTARTED | {
+_AVOIDED_END_REASONS = job.NEVER_RAN_REASONS | {
     job.EndReason.FAILED,
     job.EndReason.SESSION_LOST,
     job.EndReason.LEASE_LAPSED,
@@ -53,7 +53,7 @@
     step = tables.steps[name]
     needs = tables.step_specification(step)
     is_unadvised = bool(step.asked_at) and not step.tickets
-    if is_unadvised and advice.is_asking(tables, step):
+    if is_unadvised and advice.is_request_pending(tables, step):
         return False
     if next(tables.fleet.most_free(needs.demand()), None) is None:
         return False
@@ -67,7 +67,7 @@
     else:
         count = _place_each(tables, placement, numbers)
     if count < len(numbers):
-        advice.ask(
+        advice.request_advice(
             tables, tables.steps[name], find_eligible_targets(tables, name)
         )
     return count > 0
@@ -98,7 +98,7 @@
     tickets: dict[identity.TargetId, str] = {}
     candidates = suitable
     if tables.jobs[step.job].specification.advice is not None:
-        tickets = advice.find_valid(tables, step)
+        tickets = advice.find_valid_tickets(tables, step)
         candidates = [load for load in suitable if load.target in tickets]
     return StepPlacement(step, needs, needs.demand(), candidates, tickets)
 
@@ -163,7 +163,7 @@
     numbers: list[int],
     chosen: list[fleet.TargetLoad],
 ) -> None:
-    run = workflow.runs_of(tables, placement.step) + 1
+    run = workflow.highest_attempt_number(tables, placement.step) + 1
     members = [_get_task(tables, placement.step, number) for number in numbers]
     # A checkpoint of one member applies to all, and all must carry the same.
     saved = next((one.checkpoint for one in members if one.checkpoint), '')
@@ -198,7 +198,9 @@
             room = min(
                 room,
                 limit
-                - state.count_on(tables, placement.step.step, load.target),
+                - state.count_step_attempts(
+                    tables, placement.step.step, load.target
+                ),
             )
         chosen.extend(itertools.repeat(load, max(0, room)))
         if len(chosen) >= count:
@@ -241,7 +243,9 @@
     """Return the sort key of a target among those that are equally near."""
     needs = placement.needs
     if needs.is_lasting:
-        siblings = state.count_on(tables, placement.step.step, load.target)
+        siblings = state.count_step_attempts(
+            tables, placement.step.step, load.target
+        )
         return siblings, -load.free.millicores
     if needs.is_filler:
         return _count_serving(tables, load), -load.free.millicores
@@ -267,7 +271,10 @@
     tables: state.State, step: job.Step, load: fleet.TargetLoad
 ) -> bool:
     limit = tables.step_specification(step).per_target_limit
-    return not limit or state.count_on(tables, step.step, load.target) < limit
+    return (
+        not limit
+        or state.count_step_attempts(tables, step.step, load.target) < limit
+    )
 
 
 def _find_avoided(task: job.Task) -> set[identity.TargetId]:
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -36,46 +36,46 @@
 _GANG_ENDS = frozenset(
     (
         job.EndReason.FAILED,
-        *job.UNSTARTED,
+        *job.NEVER_RAN_REASONS,
         job.EndReason.SESSION_LOST,
         job.EndReason.LEASE_LAPSED,
         job.EndReason.GANG_INCOMPLETE,
     )
 )
 
-Check = tuple[Callable[[job.Specification], bool], job.Fault]
+Check = tuple[Callable[[job.Specification], bool], job.FieldError]
 
 _TASK_CHECKS: tuple[Check, ...] = (
     (
         lambda specification: not specification.steps,
-        job.Fault('steps', 'only a workflow has steps'),
+        job.FieldError('steps', 'only a workflow has steps'),
     ),
     (
         lambda specification: bool(specification.tasks),
-        job.Fault('tasks', 'a job has at least one task'),
+        job.FieldError('tasks', 'a job has at least one task'),
     ),
 )
 _WORKFLOW_CHECKS: tuple[Check, ...] = (
     (
         lambda specification: not specification.tasks,
-        job.Fault('tasks', 'a workflow has steps and no tasks'),
+        job.FieldError('tasks', 'a workflow has steps and no tasks'),
     ),
     (
         lambda specification: bool(specification.steps),
-        job.Fault('steps', 'a workflow has at least one step'),
+        job.FieldError('steps', 'a workflow has at least one step'),
     ),
     (
         lambda specification: specification.is_idempotent,
-        job.Fault('idempotent', 'a workflow is idempotent'),
+        job.FieldError('idempotent', 'a workflow is idempotent'),
     ),
     (
         lambda specification: specification.count_tasks() <= job.MAX_TASKS,
-        job.Fault('steps', f'a job has at most {job.MAX_TASKS} tasks'),
+        job.FieldError('steps', f'a job has at most {job.MAX_TASKS} tasks'),
     ),
 )
 
 
-def find_fault(specification: job.Specification) -> job.Fault | None:
+def find_fault(specification: job.Specification) -> job.FieldError | None:
     """Return why the shape of a job is invalid, or None."""
     is_workflow = specification.kind is job.Kind.WORKFLOW
     checks = _WORKFLOW_CHECKS if is_workflow else _TASK_CHECKS
@@ -91,19 +91,19 @@
 
 def _find_step_fault(
     number: int, step: job.StepSpecification
-) -> job.Fault | None:
+) -> job.FieldError | None:
     if any(earlier not in range(number) for earlier in step.after):
-        return job.Fault(
+        return job.FieldError(
             f'steps[{number}].after', 'a step comes after earlier ones only'
         )
     if step.is_gang and step.is_lasting:
-        return job.Fault(f'steps[{number}].gang', 'a gang does not last')
+        return job.FieldError(f'steps[{number}].gang', 'a gang does not last')
     return None
 
 
-def begin(tables: state.State, record: job.Job) -> None:
+def schedule_first_occurrence(tables: state.State, record: job.Job) -> None:
     """Release the first occurrence of a job, or schedule it."""
-    schedule(tables, record)
+    schedule_next_occurrence(tables, record)
     release_due(tables)
 
 
@@ -114,7 +114,7 @@
         _, name = tables.due.pop(0)
         record = tables.jobs[name]
         _release(tables, record)
-        schedule(tables, tables.jobs[name])
+        schedule_next_occurrence(tables, tables.jobs[name])
 
 
 def drop_occurrences(tables: state.State, name: identity.JobId) -> None:
@@ -132,7 +132,7 @@
         lifecycle.finish_job(tables, record)
 
 
-def schedule(tables: state.State, record: job.Job) -> None:
+def schedule_next_occurrence(tables: state.State, record: job.Job) -> None:
     """Note when the next occurrence of a job is due, if there is one."""
     is_ended = record.is_cancelled or record.is_abandoned
     occurrences = record.specification.count_occurrences()
@@ -165,7 +165,7 @@
     return [tables.tasks[_task_id(step.step, index)] for index in range(count)]
 
 
-def end_attempt(
+def handle_attempt_end(
     tables: state.State,
     task: job.Task,
     attempt: job.Attempt,
@@ -178,12 +178,12 @@
     if _is_completed(needs, step, attempt, ended.reason):
         _complete(tables, task, attempt, needs)
     elif record.is_cancelled or record.is_abandoned:
-        lifecycle.finish(tables, task, job.TaskState.CANCELLED)
+        lifecycle.finish_task(tables, task, job.TaskState.CANCELLED)
     else:
         _run_again(tables, task, attempt, ended)
 
 
-def put_back(tables: state.State, name: identity.StepId) -> bool:
+def demote_if_worthless(tables: state.State, name: identity.StepId) -> bool:
     """Let a step wait behind others once its job is worth nothing.
 
     It is not given up: whatever was accepted is run. Lasting work is worth
@@ -206,7 +206,7 @@
     return True
 
 
-def runs_of(tables: state.State, step: job.Step) -> int:
+def highest_attempt_number(tables: state.State, step: job.Step) -> int:
     """Return the highest attempt number of any task of a step."""
     numbers = (task.attempts for task in members_of(tables, step))
     return max(itertools.chain(numbers, (0,)))
@@ -298,7 +298,7 @@
         took_ms = tables.time - attempt.started_at
         estimate.add_sample(tables, queue, attempt.target, took_ms)
     tables.steps[step.step] = step
-    lifecycle.finish(tables, task, job.TaskState.COMPLETED)
+    lifecycle.finish_task(tables, task, job.TaskState.COMPLETED)
     if step.unfinished == 0:
         speed.add_samples(tables, step, members_of(tables, step))
         _unblock(tables, step)
@@ -328,7 +328,7 @@
 ) -> None:
     step = tables.steps[task.step_id()]
     needs = tables.step_specification(step)
-    if ended.reason in job.UNSTARTED:
+    if ended.reason in job.NEVER_RAN_REASONS:
         _drop_ticket(tables, step, attempt)
     if ended.reason is job.EndReason.FAILED:
         task = msgspec.structs.replace(task, failures=task.failures + 1)
@@ -337,7 +337,7 @@
         tables.tasks[task.task] = task
         _break_gang(tables, task, attempt, ended.reason)
     if _is_exhausted(tables, task):
-        lifecycle.finish(tables, task, job.TaskState.FAILED)
+        lifecycle.finish_task(tables, task, job.TaskState.FAILED)
         _abandon(tables, task.job)
         return
     queueing.requeue(tables, task, _restart_at(tables, task, ended.reason))
@@ -346,7 +346,7 @@
 def _restart_at(
     tables: state.State, task: job.Task, reason: job.EndReason
 ) -> int:
-    if reason in job.UNSTARTED:
+    if reason in job.NEVER_RAN_REASONS:
         return tables.time + _RESTART_MS
     if reason is not job.EndReason.FAILED or task.failures <= _FREE_FAILURES:
         return 0
@@ -361,7 +361,7 @@
     if needs.is_lasting:
         return False
     failures = step.failures if needs.is_gang else task.failures
-    return failures >= retry.most_failures(tables, task)
+    return failures >= retry.failure_limit(tables, task)
 
 
 def _break_gang(
@@ -406,7 +406,7 @@
     record = msgspec.structs.replace(record, is_abandoned=True)
     tables.jobs[name] = record
     for task in tasks_of(tables, record):
-        lifecycle.call_off(tables, task, job.StopReason.ABANDONED)
+        lifecycle.cancel_task(tables, task, job.StopReason.ABANDONED)
     drop_occurrences(tables, name)
 
 
--- a/mulberrywalk/replica/engine_test.py
+++ b/mulberrywalk/replica/engine_test.py
@@ -78,7 +78,7 @@
     began_at = slow_clock[0]
     run_rounds(running, 1)
     assert 0 < running.tables.time < ENTRIES // 2
-    assert slow_clock[0] - began_at < engine.APPLY_MS + 5 * READING_MS
+    assert slow_clock[0] - began_at < engine.APPLY_BUDGET_MS + 5 * READING_MS
 
 
 def test_a_leader_serves_once_it_has_applied_all(folder, slow_clock):
@@ -134,7 +134,7 @@
         'q', 'h', '/', 'p', job.Urgency.HIGH, 3000, 1, 100, 1
     )
     queue = msgspec.structs.replace(queue, **changes)
-    pool = configuration.PoolTerms('p')
+    pool = configuration.PoolSettings('p')
     routing = configuration.Routing(7, (queue,), (pool,))
     return event.ConfigurationReplaced(1, routing)
 
@@ -144,7 +144,7 @@
     opened(born_at=-(10**40)),
     routed(timeout_ms=10**300),
     # Written, it could be read by no replica.
-    routed(advice=job.AdviceTerms(-5, 1, 1)),
+    routed(advice=job.AdviceSettings(-5, 1, 1)),
 )
 
 
