--- a/mulberrywalk/core/advice_prefetch.py
+++ b/mulberrywalk/core/advice_prefetch.py
@@ -52,10 +52,10 @@
     tables: state.State, name: identity.StepId, expires_at: int
 ) -> bool:
     step = tables.steps[name]
-    terms = tables.jobs[step.job].specification.advice
-    if terms is None or not tables.step_specification(step).is_lasting:
+    settings = tables.jobs[step.job].specification.advice
+    if settings is None or not tables.step_specification(step).is_lasting:
         return False
-    request_from = expires_at - advice.max_answer_ms(terms) - _LOG_DELAY_MS
+    request_from = expires_at - advice.max_answer_ms(settings) - _LOG_DELAY_MS
     return tables.time >= request_from and not advice.find_valid_tickets(
         tables, step
     )
--- a/mulberrywalk/core/placement.py
+++ b/mulberrywalk/core/placement.py
@@ -110,7 +110,7 @@
     ) -> fleet.TargetLoad | None:
         """Return the target that keeps the most of its scarcest resource.
 
-        Compares the free parts of the capacity once the task is placed.
+        Compares the free shares of the capacity once the task is placed.
         """
         return max(
             candidates,
--- a/mulberrywalk/core/speed_test.py
+++ b/mulberrywalk/core/speed_test.py
@@ -73,4 +73,4 @@
     number = next(cell.numbers)
     cell.submit(cell_test.specify(number, job.Kind.WORKFLOW, steps=(needs,)))
     cell.dispatch()
-    assert 't0' in {one.target for one in cell.tables.attempts.values()}
+    assert 't0' in {attempt.target for attempt in cell.tables.attempts.values()}
--- a/mulberrywalk/core/step_placement.py
+++ b/mulberrywalk/core/step_placement.py
@@ -166,7 +166,14 @@
     run = workflow.highest_attempt_number(tables, placement.step) + 1
     members = [_get_task(tables, placement.step, number) for number in numbers]
     # A checkpoint of one member applies to all, and all must carry the same.
-    saved = next((one.checkpoint for one in members if one.checkpoint), '')
+    saved = next(
+        (
+            gang_member.checkpoint
+            for gang_member in members
+            if gang_member.checkpoint
+        ),
+        '',
+    )
     for member, load in zip(members, chosen, strict=True):
         task = msgspec.structs.replace(member, checkpoint=saved)
         _place(tables, placement, task, load, run)
@@ -178,7 +185,7 @@
     candidates: list[fleet.TargetLoad],
     count: int,
 ) -> list[fleet.TargetLoad] | None:
-    """Return targets for a number of equal tasks, or None without room.
+    """Return targets for a number of equal tasks, or None when they do not fit.
 
     Steady targets go first, and among them those with the least free.
     """
@@ -188,21 +195,21 @@
         least_free_first, key=lambda load: _is_unsteady(tables, load)
     )
     for load in steady_first:
-        room = resource.count_fitting(
+        task_count = resource.count_fitting(
             placement.demand, load.free, job.MAX_TASKS
         )
         if load.is_on_probation:
-            room = min(room, 1)
+            task_count = min(task_count, 1)
         limit = placement.needs.per_target_limit
         if limit:
-            room = min(
-                room,
+            task_count = min(
+                task_count,
                 limit
                 - state.count_step_attempts(
                     tables, placement.step.step, load.target
                 ),
             )
-        chosen.extend(itertools.repeat(load, max(0, room)))
+        chosen.extend(itertools.repeat(load, max(0, task_count)))
         if len(chosen) >= count:
             return chosen[:count]
     return None
@@ -262,8 +269,8 @@
     """Return the number of tasks with a latency target on a target."""
     tasks = (tables.tasks[tables.attempts[name].task] for name in load.attempts)
     return sum(
-        bool(getattr(tables.task_specification(one), 'latency_target_ms', 0))
-        for one in tasks
+        bool(getattr(tables.task_specification(task), 'latency_target_ms', 0))
+        for task in tasks
     )
 
 
