--- a/mulberrywalk/core/step_placement.py
+++ b/mulberrywalk/core/step_placement.py
@@ -269,8 +269,12 @@
     """Return the number of tasks with a latency target on a target."""
     tasks = (tables.tasks[tables.attempts[name].task] for name in load.attempts)
     return sum(
-        bool(getattr(tables.task_specification(task), 'latency_target_ms', 0))
-        for task in tasks
+        bool(
+            getattr(
+                tables.task_specification(running_task), 'latency_target_ms', 0
+            )
+        )
+        for running_task in tasks
     )
 
 
