--- a/mulberrywalk/replica/__init__.py
+++ b/mulberrywalk/replica/__init__.py
@@ -1,1 +1,1 @@
-"""The replica program: consensus, storage and the reducer together."""
+"""The replica process: consensus, storage and the state machine."""
--- a/mulberrywalk/replica/absence_monitor.py
+++ b/mulberrywalk/replica/absence_monitor.py
@@ -1,7 +1,7 @@
-"""What the leader tells of lasting work that does not run.
+"""Reports of lasting tasks that do not run, by the leader.
 
-The load that this answers: each attempt fails soon and for another reason, so
-that no single line shows that the work has been away for long.
+Handles tasks whose attempts each fail soon and for different reasons, where no
+single log line shows that the task has not run for a long time.
 """
 
 from __future__ import annotations
@@ -12,38 +12,40 @@
 from ..telemetry import journal, metric
 from . import engine
 
-# Lines that each look writes, the longest absences first.
-_LINES = 3
+# Log lines per report, the longest absences first.
+_MAX_LINES = 3
 
 
 class AbsenceMonitor:
-    """Looks for lasting tasks that do not run; shows them by line and gauge."""
+    """Reports lasting tasks that do not run, as log lines and gauges."""
 
     def __init__(
         self,
-        running: engine.Engine,
-        lines: journal.Journal,
+        replica_engine: engine.Engine,
+        logger: journal.Journal,
         metrics: metric.Metrics,
     ) -> None:
-        """Show nothing before the first look."""
-        self._engine = running
-        self._journal = lines
+        """Start with no gauges set."""
+        self._engine = replica_engine
+        self._journal = logger
         self._metrics = metrics
 
     def report(self) -> None:
-        """Look at the tasks as they are now."""
+        """Log the longest current absences and update the gauges."""
         now = self._engine.time()
         found = absence.find(self._engine.tables, now, absence.NOTED_MS)
-        self._gauge(found, now)
-        for place, absent in enumerate(found[:_LINES], start=1):
-            detail = _tell(absent, now)
-            self._record(absent, f'{detail} place={place}/{len(found)}')
+        self._update_gauges(found, now)
+        for rank, absent in enumerate(found[:_MAX_LINES], start=1):
+            detail = _describe(absent, now)
+            self._record(absent, f'{detail} place={rank}/{len(found)}')
 
     def clear(self) -> None:
-        """Show that nothing is known, for another replica leads."""
-        self._gauge((), 0)
+        """Set the gauges to zero when another replica leads."""
+        self._update_gauges((), 0)
 
-    def _gauge(self, found: Sequence[absence.Absence], now: int) -> None:
+    def _update_gauges(
+        self, found: Sequence[absence.Absence], now: int
+    ) -> None:
         with_room = sum(absent.has_room() for absent in found)
         longest_ms = now - found[0].since if found else 0
         self._metrics.gauge('lasting_absent', len(found))
@@ -62,8 +64,8 @@
         )
 
 
-def _tell(absent: absence.Absence, now: int) -> str:
-    told: dict[str, int | str] = {
+def _describe(absent: absence.Absence, now: int) -> str:
+    fields: dict[str, int | str] = {
         'ms': now - absent.since,
         'stage_ms': now - absent.stage_since,
         'runs': absent.runs,
@@ -73,9 +75,9 @@
     last = absent.last
     if last is not None:
         started = 'yes' if absence.has_run(last) else 'never'
-        told['last'] = last.reason.value
-        told['last_target'] = last.target
-        told['last_started'] = started
-        told['last_held_ms'] = last.ended_at - last.placed_at
+        fields['last'] = last.reason.value
+        fields['last_target'] = last.target
+        fields['last_started'] = started
+        fields['last_held_ms'] = last.ended_at - last.placed_at
     stage = absent.stage.value
-    return f'{stage}: {effect.detail(told)}'
+    return f'{stage}: {effect.detail(fields)}'
--- a/mulberrywalk/replica/advice_queue.py
+++ b/mulberrywalk/replica/advice_queue.py
@@ -1,9 +1,9 @@
-"""Questions to the adviser, spread over the entries that may ask.
+"""The queue of requests to the adviser, distributed over the entries.
 
-An adviser serves each asking instance one call at a time, so an entry is
-given one question at a time, and the most urgent is asked first. The load that
-this answers: many slow questions of patient queues at once, behind which the
-quick ones of urgent queues would stand.
+The adviser serves one call at a time for each calling instance, so each entry
+has at most one open request, and the most urgent request is sent first.
+Otherwise, many slow requests of queues with low urgency at once would delay
+the fast ones of urgent queues.
 """
 
 from __future__ import annotations
@@ -15,74 +15,84 @@
 from ..transport import wire
 from . import link
 
-# Of so many entries, one is kept for the most urgent questions.
-_ONE_KEPT_OF = 3
-# An entry that has not answered by then is given the next question.
-_PATIENCE_MS = 1000
+# One in this many entries is reserved for the most urgent requests.
+_ENTRIES_PER_RESERVED = 3
+# Grace period after the expected duration of a request, before it is dropped
+# and its entry is free again.
+_GRACE_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """An open question: who asks it, and until when it is waited for."""
+    """A request sent to an entry, and the deadline of its answer."""
 
     wanted: effect.AskAdvice
     entry: link.Link
-    until: int
+    deadline: int
 
 
 class AdviceQueue:
-    """The open questions while this replica leads."""
+    """The waiting and open requests while this replica leads."""
 
     def __init__(self, links: link.Links) -> None:
-        """Start without questions."""
+        """Start with no requests."""
         self._links = links
         self._waiting: dict[identity.StepId, effect.AskAdvice] = {}
         self._open: dict[identity.StepId, OpenRequest] = {}
 
     def add(self, wanted: effect.AskAdvice) -> None:
-        """Ask a question as soon as an entry is free for it."""
+        """Queue a request until an entry is free for it."""
         if wanted.step not in self._open:
             self._waiting[wanted.step] = wanted
         self.send_waiting()
 
     def complete(self, step: identity.StepId) -> None:
-        """Forget a question that was answered; its entry is free again."""
+        """Remove an answered request; its entry is free again."""
         self._open.pop(step, None)
         self.send_waiting()
 
     def send_waiting(self) -> None:
-        """Ask what waits, the most urgent first."""
+        """Send waiting requests to free entries, the most urgent first."""
         now = clock.monotonic_ms()
-        self._forget(now)
+        self._remove_expired(now)
         ordered = sorted(
-            self._waiting.values(), key=lambda one: job.rank(one.urgency)
+            self._waiting.values(),
+            key=lambda waiting: job.rank(waiting.urgency),
         )
         for wanted in ordered:
-            chosen = self._choose(wanted)
-            if chosen is not None:
-                self._send(wanted, chosen, now)
+            entry = self._choose_entry(wanted)
+            if entry is not None:
+                self._send(wanted, entry, now)
 
     def _send(
-        self, wanted: effect.AskAdvice, chosen: link.Link, now: int
+        self, wanted: effect.AskAdvice, entry: link.Link, now: int
     ) -> None:
         self._waiting.pop(wanted.step)
-        until = now + wanted.expected_ms + _PATIENCE_MS
-        self._open[wanted.step] = OpenRequest(wanted, chosen, until)
-        chosen.send(wire.AdviceWanted(wanted.step, wanted.targets))
+        deadline = now + wanted.expected_ms + _GRACE_MS
+        self._open[wanted.step] = OpenRequest(wanted, entry, deadline)
+        entry.send(wire.AdviceWanted(wanted.step, wanted.targets))
 
-    def _choose(self, wanted: effect.AskAdvice) -> link.Link | None:
+    def _choose_entry(self, wanted: effect.AskAdvice) -> link.Link | None:
         entries = [
-            one for one in self._links.open.values() if not one.is_stopping
+            candidate
+            for candidate in self._links.open.values()
+            if not candidate.is_stopping
         ]
         busy = {asked.entry.process for asked in self._open.values()}
-        free = [one for one in entries if one.process not in busy]
-        kept = len(entries) // _ONE_KEPT_OF if job.rank(wanted.urgency) else 0
-        if len(free) <= kept:
+        free = [
+            candidate for candidate in entries if candidate.process not in busy
+        ]
+        reserved = (
+            len(entries) // _ENTRIES_PER_RESERVED
+            if job.rank(wanted.urgency)
+            else 0
+        )
+        if len(free) <= reserved:
             return None
-        return min(free, key=lambda one: one.process)
+        return min(free, key=lambda candidate: candidate.process)
 
-    def _forget(self, now: int) -> None:
-        """Give up what was not answered; ask again what an entry lost."""
+    def _remove_expired(self, now: int) -> None:
+        """Drop requests past their deadline; requeue those of closed links."""
         lost = {
             step: asked.wanted
             for step, asked in self._open.items()
@@ -92,9 +102,9 @@
         self._open = {
             step: asked
             for step, asked in self._open.items()
-            if asked.until > now and self._is_linked(asked.entry)
+            if asked.deadline > now and self._is_linked(asked.entry)
         }
 
     def _is_linked(self, entry: link.Link) -> bool:
-        # A question is lost with the link, even if a new one follows.
+        # A request is lost with its link, even if the entry links again.
         return self._links.open.get(entry.process) is entry
--- a/mulberrywalk/replica/assignment.py
+++ b/mulberrywalk/replica/assignment.py
@@ -1,8 +1,9 @@
-"""Which entry calls which target, of those that do not dial in.
+"""Assignment of called targets to entries.
 
-Not replicated: each entry tells a new leader what it carries and goes on with
-it, so that nothing moves for the change of leaders alone. What no entry claims
-is spread over those that are linked by then.
+A called target does not connect to an entry; an entry connects to it. The
+assignments are not replicated: each entry reports the sessions it serves to a
+new leader and keeps them, so that a change of leader alone moves no target.
+Sessions that no entry claims are spread over the entries linked by then.
 """
 
 from __future__ import annotations
@@ -14,82 +15,90 @@
 from ..transport import wire
 from . import delivery, engine, lease, link
 
-# A target that has not answered its entry for so long is given to another.
-_SILENCE_MS = 2500
-_MUTE_MS = 2 * _SILENCE_MS
-# For how long a new leader leaves targets to the entries that carry them.
+# A target that has not answered its entry for this long is reassigned.
+_UNANSWERED_TIMEOUT_MS = 2500
+_AVOID_ENTRY_MS = 2 * _UNANSWERED_TIMEOUT_MS
+# How long a new leader waits for entries to claim the sessions they serve.
 CLAIM_GRACE_MS = 600
-# Beyond an even share by half and this many, an entry gives targets away.
-_UNEVEN = 2
-_MOVES_AT_ONCE = 8
+# An entry is overloaded above 1.5 times the even share plus this many targets.
+_SHARE_TOLERANCE = 2
+_MAX_MOVES_PER_ROUND = 8
 
 
 class Assignments:
-    """The calling entries of all sessions while this replica leads.
+    """Assigns the called targets to entries while this replica leads.
 
     Times are milliseconds of this process's monotonic clock.
     """
 
     def __init__(
         self,
-        running: engine.Engine,
+        replica_engine: engine.Engine,
         links: link.Links,
         leases: lease.Leases,
-        commands: delivery.Delivery,
-        lines: journal.Journal,
+        command_delivery: delivery.Delivery,
+        logger: journal.Journal,
         now: int,
     ) -> None:
-        """Start with nothing assigned, at the beginning of a term."""
-        self._engine = running
+        """Start with no assignments, at the beginning of a term."""
+        self._engine = replica_engine
         self._links = links
         self._leases = leases
-        self._delivery = commands
-        self._journal = lines
+        self._delivery = command_delivery
+        self._journal = logger
         self._assigned_at: dict[identity.SessionId, int] = {}
-        self._unclaimed = set(running.tables.sessions)
-        self._claimed_by = now + CLAIM_GRACE_MS
-        # Entries that could not reach a target, and until when they count so.
-        self._mute: dict[str, int] = {}
+        self._unclaimed = set(replica_engine.tables.sessions)
+        self._claims_end_at = now + CLAIM_GRACE_MS
+        # Entries that failed to reach a target, and until when to avoid them.
+        self._avoided_until: dict[str, int] = {}
 
     def accept_claim(
         self, session: identity.SessionId, entry: link.Link, now: int
     ) -> bool:
-        """Return whether an entry goes on calling a target that it carries.
+        """Assign a session to an entry that already serves it.
 
-        It does not when the session has ended, is another entry's by now, or
-        the entry is stopping.
+        Returns False, and assigns nothing, when the session has ended or is
+        assigned to another entry, or when the entry is stopping.
         """
         known = self._engine.tables.sessions.get(session)
-        is_free = session not in self._assigned_at
-        is_own = self._leases.entry_of(session) == entry.process
-        if known is None or entry.is_stopping or not (is_free or is_own):
+        is_unassigned = session not in self._assigned_at
+        is_assigned_here = self._leases.entry_of(session) == entry.process
+        if (
+            known is None
+            or entry.is_stopping
+            or not (is_unassigned or is_assigned_here)
+        ):
             return False
-        self._give(known, entry, now)
+        self._assign_to(known, entry, now)
         return True
 
     def resend_missing(
         self,
         entry: link.Link,
-        carried: tuple[identity.SessionId, ...],
+        listed: tuple[identity.SessionId, ...],
         now: int,
     ) -> None:
-        """Assign what an entry has and does not know of, as it links again."""
-        known = set(carried)
-        lost = [
+        """Resend the assignments that a reconnected entry does not list."""
+        listed_sessions = set(listed)
+        unlisted = [
             session
             for name in self._assigned_at
-            if name not in known
+            if name not in listed_sessions
             and self._leases.entry_of(name) == entry.process
             and (session := self._engine.tables.sessions.get(name)) is not None
         ]
-        for session in lost:
-            self._give(session, entry, now)
+        for session in unlisted:
+            self._assign_to(session, entry, now)
 
     def rebalance(self, now: int) -> None:
-        """Assign the sessions whose entry is gone, stopping or unanswered."""
-        if not self._takers():
+        """Assign sessions that have no working entry, and even out the load.
+
+        An entry does not work when it is disconnected or stopping, or when
+        the target has not answered it.
+        """
+        if not self._available_entries():
             self._await_claims(now)
-        if now >= self._claimed_by:
+        if now >= self._claims_end_at:
             self._unclaimed.clear()
         sessions = self._engine.tables.sessions
         self._assigned_at = {
@@ -102,7 +111,7 @@
         for session in list(sessions.values()):
             if self._needs_entry(session, now):
                 given[self._assign(session, counts, now)] += 1
-        given.update(self._even_out(counts, now))
+        given.update(self._move_from_overloaded(counts, now))
         given.pop('', None)
         for entry, number in sorted(given.items()):
             self._journal.record(
@@ -110,15 +119,16 @@
             )
 
     def count_by_entry(self) -> collections.Counter[str]:
-        """Return how many targets each entry is to call."""
+        """Return the number of targets assigned to each entry."""
         return collections.Counter(
-            self._leases.entry_of(one) for one in self._assigned_at
+            self._leases.entry_of(session) for session in self._assigned_at
         )
 
     def may_renew(self, session: identity.SessionId, entry: str) -> bool:
         """Return whether an entry may renew a session.
 
-        Only the assigned one may, of a target that is called.
+        The session of a called target is renewed only by its assigned entry,
+        any other session by every entry.
         """
         known = self._engine.tables.sessions.get(session)
         if known is None or not known.born_at:
@@ -126,10 +136,10 @@
         return self._leases.entry_of(session) == entry
 
     def _await_claims(self, now: int) -> None:
-        """Leave all targets to those who carry them, from the next link on."""
+        """Unassign all sessions; entries may claim them when they reconnect."""
         self._unclaimed.update(self._assigned_at)
         self._assigned_at.clear()
-        self._claimed_by = now + CLAIM_GRACE_MS
+        self._claims_end_at = now + CLAIM_GRACE_MS
 
     def _needs_entry(self, session: target.Session, now: int) -> bool:
         if not session.born_at:
@@ -141,9 +151,9 @@
         if assigned is None or assigned.is_stopping:
             return True
         heard_at = max(self._leases.renewed_at(session.session), assigned_at)
-        is_unanswered = now - heard_at > _SILENCE_MS
+        is_unanswered = now - heard_at > _UNANSWERED_TIMEOUT_MS
         if is_unanswered:
-            self._mute[assigned.process] = now + _MUTE_MS
+            self._avoided_until[assigned.process] = now + _AVOID_ENTRY_MS
         return is_unanswered
 
     def _assign(
@@ -152,17 +162,17 @@
         counts: collections.Counter[str],
         now: int,
     ) -> str:
-        """Return the entry that is to call the target now, or nothing."""
-        entry = self._choose(session, counts, now)
+        """Assign a session to an entry; return its name, or an empty string."""
+        entry = self._choose_entry(session, counts, now)
         if entry is None:
             return ''
         if session.session in self._assigned_at:
             counts[self._leases.entry_of(session.session)] -= 1
         counts[entry.process] += 1
-        self._give(session, entry, now)
+        self._assign_to(session, entry, now)
         return entry.process
 
-    def _give(
+    def _assign_to(
         self, session: target.Session, entry: link.Link, now: int
     ) -> None:
         self._unclaimed.discard(session.session)
@@ -171,72 +181,78 @@
         if before != entry.process:
             self._links.send(before, wire.Gone((session.session,)))
         self._leases.assign(session.session, entry.process)
-        entry.send(self._message(session))
+        entry.send(self._assignment_message(session))
         self._delivery.resend_session(session.session, now)
 
-    def _even_out(
+    def _move_from_overloaded(
         self, counts: collections.Counter[str], now: int
     ) -> collections.Counter[str]:
-        """Move some targets of an entry that has far more than its share.
+        """Move some targets away from overloaded entries.
 
-        Returns how many each entry was given.
+        Returns the number of targets that each entry gained.
         """
         given: collections.Counter[str] = collections.Counter()
-        most = self._most()
-        if max(counts.values(), default=0) <= most:
+        threshold = self._overload_threshold()
+        if max(counts.values(), default=0) <= threshold:
             return given
-        crowded = [
+        candidates = [
             session
             for name in self._assigned_at
-            if counts[self._leases.entry_of(name)] > most
+            if counts[self._leases.entry_of(name)] > threshold
             and (session := self._engine.tables.sessions.get(name)) is not None
         ]
-        for session in crowded[:_MOVES_AT_ONCE]:
-            left = self._leases.entry_of(session.session)
-            if counts[left] > most:
+        for session in candidates[:_MAX_MOVES_PER_ROUND]:
+            previous = self._leases.entry_of(session.session)
+            if counts[previous] > threshold:
                 given[self._assign(session, counts, now)] += 1
         return given
 
-    def _most(self) -> int:
-        """Return how many targets one entry may have before it gives away."""
-        entries = self._takers()
+    def _overload_threshold(self) -> int:
+        """Return the number of targets above which an entry is overloaded."""
+        entries = self._available_entries()
         if not entries:
             return len(self._assigned_at)
         share = -(-len(self._assigned_at) // len(entries))
-        return share + share // 2 + _UNEVEN
+        return share + share // 2 + _SHARE_TOLERANCE
 
-    def _takers(self) -> list[link.Link]:
-        return [one for one in self._links.open.values() if not one.is_stopping]
+    def _available_entries(self) -> list[link.Link]:
+        return [
+            entry
+            for entry in self._links.open.values()
+            if not entry.is_stopping
+        ]
 
-    def _choose(
+    def _choose_entry(
         self,
         session: target.Session,
         counts: collections.Counter[str],
         now: int,
     ) -> link.Link | None:
-        """Return the entry with the fewest targets, a near one first.
+        """Return the best entry for a target, or None when there is none.
 
-        One that has far more than its share is not near to anything, and one
-        that lately reached no target comes last.
+        Prefers an entry of the target's data centre, then the one with the
+        fewest targets. Entries at the overload threshold rank behind all of
+        these, then entries that recently failed to reach a target, and last
+        the entry that the target has now.
         """
         tables = self._engine.tables
-        place = tables.targets[session.target].data_centre
-        present = self._leases.entry_of(session.session)
-        most = self._most()
+        target_location = tables.targets[session.target].data_centre
+        present_entry = self._leases.entry_of(session.session)
+        threshold = self._overload_threshold()
         return min(
-            self._takers(),
-            key=lambda one: (
-                one.process == present,
-                self._mute.get(one.process, 0) > now,
-                counts[one.process] >= most,
-                one.data_centre != place,
-                counts[one.process],
-                one.process,
+            self._available_entries(),
+            key=lambda entry: (
+                entry.process == present_entry,
+                self._avoided_until.get(entry.process, 0) > now,
+                counts[entry.process] >= threshold,
+                entry.data_centre != target_location,
+                counts[entry.process],
+                entry.process,
             ),
             default=None,
         )
 
-    def _message(self, session: target.Session) -> wire.Assignment:
+    def _assignment_message(self, session: target.Session) -> wire.Assignment:
         tables = self._engine.tables
         record = tables.targets[session.target]
         attempts = (
--- a/mulberrywalk/replica/delivery.py
+++ b/mulberrywalk/replica/delivery.py
@@ -1,4 +1,4 @@
-"""Delivery of commands to the targets, sent again until confirmed."""
+"""Delivery of commands to targets; unconfirmed commands are resent."""
 
 from __future__ import annotations
 
@@ -12,71 +12,77 @@
 
 
 class Delivery:
-    """Commands that the leader has sent and no target has confirmed.
+    """Sends commands and tracks those that no target has confirmed.
 
-    All of it can be derived from the state: a new leader starts with every
-    attempt that is unconfirmed or being stopped.
+    All of it derives from the replicated state: a new leader starts with every
+    attempt whose start is unconfirmed or that is being stopped. Times are
+    milliseconds of this process's monotonic clock.
     """
 
     def __init__(
-        self, running: engine.Engine, links: link.Links, leases: lease.Leases
+        self,
+        replica_engine: engine.Engine,
+        links: link.Links,
+        leases: lease.Leases,
     ) -> None:
-        """Start with what the state says is unconfirmed."""
-        self._engine = running
+        """Start with the unconfirmed attempts in the state, all overdue."""
+        self._engine = replica_engine
         self._links = links
         self._leases = leases
-        self._sent: dict[identity.AttemptId, int] = {
+        self._sent_at: dict[identity.AttemptId, int] = {
             attempt.attempt: 0
-            for attempt in running.tables.attempts.values()
+            for attempt in replica_engine.tables.attempts.values()
             if is_unconfirmed(attempt)
         }
 
     def start(self, attempt: job.Attempt, now: int) -> None:
-        """Send the start of an attempt that was placed."""
-        self._sent[attempt.attempt] = now
+        """Send the command that starts a placed attempt."""
+        self._sent_at[attempt.attempt] = now
         command = start_command(self._engine.tables, attempt)
         self._send(wire.Commands(attempt.session, start=(command,)))
 
     def stop(self, attempt: job.Attempt, now: int) -> None:
-        """Send the stop of an attempt."""
-        self._sent[attempt.attempt] = now
+        """Send the command that stops an attempt."""
+        self._sent_at[attempt.attempt] = now
         command = stop_command(attempt)
         self._send(wire.Commands(attempt.session, stop=(command,)))
 
     def throttle(self, attempt: job.Attempt) -> None:
-        """Ask the target to hold an attempt to what it declared."""
+        """Ask the target to limit an attempt to its declared resources."""
         self._send(wire.Commands(attempt.session, throttle=(attempt.attempt,)))
 
-    def acknowledge(self, ends: effect.AcknowledgeEnds) -> None:
-        """Let a target forget the ends that were recorded."""
-        self._send(wire.Commands(ends.session, acknowledge=ends.attempts))
+    def acknowledge(self, ended: effect.AcknowledgeEnds) -> None:
+        """Acknowledge recorded ends, so that the target can drop them."""
+        self._send(wire.Commands(ended.session, acknowledge=ended.attempts))
 
     def resend_overdue(self, now: int) -> None:
-        """Send again what was not confirmed in time."""
-        for name, sent_at in list(self._sent.items()):
+        """Resend the commands that were not confirmed in time."""
+        for name, sent_at in list(self._sent_at.items()):
             attempt = self._engine.tables.attempts.get(name)
             if attempt is None or not is_unconfirmed(attempt):
-                self._sent.pop(name)
+                self._sent_at.pop(name)
             elif now - sent_at >= RESEND_INTERVAL_MS:
-                self._send_again(attempt, now)
+                self._resend(attempt, now)
 
     def resend_session(self, session: identity.SessionId, now: int) -> None:
-        """Send again all that is unconfirmed of a session that has moved."""
+        """Resend all unconfirmed commands of a session that changed entry."""
         tables = self._engine.tables
         for name in sorted(tables.by_session.get(session, ())):
             attempt = tables.attempts[name]
             if is_unconfirmed(attempt):
-                self._send_again(attempt, now)
+                self._resend(attempt, now)
 
-    def _send_again(self, attempt: job.Attempt, now: int) -> None:
+    def _resend(self, attempt: job.Attempt, now: int) -> None:
         if attempt.stopping is None:
             self.start(attempt, now)
         else:
             self.stop(attempt, now)
 
     def _send(self, commands: wire.Commands) -> None:
-        fenced = msgspec.structs.replace(commands, term=self._engine.node.term)
-        self._links.send(self._leases.entry_of(commands.session), fenced)
+        with_term = msgspec.structs.replace(
+            commands, term=self._engine.node.term
+        )
+        self._links.send(self._leases.entry_of(commands.session), with_term)
 
 
 def is_unconfirmed(attempt: job.Attempt) -> bool:
@@ -89,26 +95,26 @@
 ) -> wire.StartCommand:
     """Return the command that starts an attempt."""
     task = tables.tasks[attempt.task]
-    needs = tables.task_specification(task)
+    requirements = tables.task_specification(task)
     return wire.StartCommand(
         attempt=attempt.attempt,
         task=task.task,
-        millicores=needs.millicores,
-        memory_bytes=needs.memory_bytes,
-        accelerators=needs.accelerators,
-        estimate_ms=needs.estimate_ms,
+        millicores=requirements.millicores,
+        memory_bytes=requirements.memory_bytes,
+        accelerators=requirements.accelerators,
+        estimate_ms=requirements.estimate_ms,
         payload=_payload_of(tables, task),
         checkpoint=task.checkpoint,
         ticket=attempt.ticket,
-        latency_target_ms=getattr(needs, 'latency_target_ms', 0),
-        is_filler=getattr(needs, 'is_filler', False),
+        latency_target_ms=getattr(requirements, 'latency_target_ms', 0),
+        is_filler=getattr(requirements, 'is_filler', False),
     )
 
 
 def _payload_of(tables: state.State, task: job.Task) -> str:
-    needs = tables.task_specification(task)
-    if isinstance(needs, job.TaskSpecification):
-        return needs.payload
+    requirements = tables.task_specification(task)
+    if isinstance(requirements, job.TaskSpecification):
+        return requirements.payload
     return tables.specification(task).payload
 
 
--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -1,9 +1,9 @@
-"""The loop of a replica: consensus, disk and the reducer in order.
+"""The main loop of a replica: consensus, disk and state machine.
 
-One round takes all inputs that have arrived, writes and syncs once, sends,
-and applies what became committed, for a limited time: what is left then
-follows in the next rounds. Inputs that arrive while the disk syncs make the
-next round.
+One round processes all queued inputs, writes and syncs to disk once, sends
+messages, and applies committed entries within a time budget; the remaining
+entries are applied in later rounds. Inputs that arrive during the sync are
+processed in the next round.
 """
 
 from __future__ import annotations
@@ -25,22 +25,24 @@
 from . import proposal, state_machine
 
 TICK_INTERVAL_S = 0.03
-# Less than a heartbeat, so that a leader with much to apply stays one.
+# Below the heartbeat interval, so that a leader with a long backlog of
+# committed entries keeps its leadership.
 APPLY_BUDGET_MS = 40
-# A snapshot costs by the tasks that it holds: the more, the rarer.
-TASKS_PER_ENTRY = 4
+# The cost of a snapshot grows with the number of tasks in it, so the number of
+# log entries between two snapshots grows with it too.
+TASKS_PER_SNAPSHOT_ENTRY = 4
 _BOOT_BITS = 62
-_TRAILING_ENTRIES = 1000
+_RETAINED_ENTRIES = 1000
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Callbacks:
-    """What the engine calls: to send, and about what it has applied.
+    """Functions that the engine calls to send messages and report progress.
 
-    applied receives the effects of each event on a leader; changed is called
-    when the role or the membership may have changed.
+    on_applied receives the effects of each applied event, on a leader only;
+    on_changed is called when the role or the membership may have changed.
     """
 
     send: Callable[[message.ReplicaId, message.Message], None]
@@ -49,25 +51,25 @@
 
 
 def _ignore(*_: object) -> None:
-    """Do nothing, before the engine is composed."""
+    """Do nothing; used until the callbacks are set."""
 
 
 NO_CALLBACKS = Callbacks(_ignore, _ignore, _ignore)
 
 
 class Engine:
-    """Runs one replica over its disk."""
+    """Runs the consensus, storage and state machine of one replica."""
 
     def __init__(
         self,
         loaded: storage.Loaded,
         disk: storage.Disk,
         timing: node.Timing,
-        lines: journal.Journal,
+        logger: journal.Journal,
         *,
         snapshot_entries: int,
     ) -> None:
-        """Restore state and log from what the disk holds."""
+        """Restore the state and the log from the data loaded from disk."""
         self.node = raft.create(
             loaded.identity.identity,
             loaded.log,
@@ -77,14 +79,14 @@
             now=clock.monotonic_ms(),
             boot=secrets.randbits(_BOOT_BITS) + 1,
         )
-        known = self.node.applied_index - loaded.log.snapshot_index
+        count = self.node.applied_index - loaded.log.snapshot_index
         self._state_machine = state_machine.StateMachine(
             loaded.snapshot,
-            loaded.log.slice(loaded.log.snapshot_index + 1, known),
+            loaded.log.slice(loaded.log.snapshot_index + 1, count),
         )
         self.callbacks = NO_CALLBACKS
         self._disk = disk
-        self._journal = lines
+        self._journal = logger
         self._snapshot_entries = snapshot_entries
         self._snapshot_index = loaded.log.snapshot_index
         self._inputs: list[node.Input] = []
@@ -95,64 +97,64 @@
 
     @property
     def tables(self) -> state.State:
-        """The state as far as it was applied."""
+        """The state after the last applied entry."""
         return self._state_machine.tables
 
     def time(self) -> int:
-        """Return the time for events, in milliseconds since 1970."""
+        """Return the timestamp for new events, in milliseconds since 1970."""
         return self._clock.read()
 
-    def enqueue(self, entered: node.Input) -> None:
+    def enqueue(self, new_input: node.Input) -> None:
         """Queue an input for the next round."""
-        self._inputs.append(entered)
+        self._inputs.append(new_input)
         self._wake.set()
 
     def propose(
-        self, occurred: event.Event, told: proposal.OutcomeCallback
+        self, new_event: event.Event, callback: proposal.OutcomeCallback
     ) -> None:
-        """Queue an event for the log; told is called with its outcome.
+        """Queue an event for the log; callback is called with its outcome.
 
-        One that the log cannot hold is refused at once.
+        An event that the log cannot hold is refused immediately.
         """
         try:
-            written = state_machine.encode_event(occurred)
+            encoded = state_machine.encode_event(new_event)
         except reading.UnreadableError as error:
-            kind = type(occurred).__name__
+            kind = type(new_event).__name__
             self._journal.record('event refused', f'{kind}: {error}')
             reason = outcome.RefusalReason.INVALID_EVENT
-            told(outcome.NotRun(reason, str(error)))
+            callback(outcome.NotRun(reason, str(error)))
             return
-        self._proposals.add(written, told)
+        self._proposals.add(encoded, callback)
         self._wake.set()
 
     async def propose_and_wait(
-        self, occurred: event.Event
+        self, new_event: event.Event
     ) -> outcome.Outcome | None:
-        """Return the outcome of an event once it is committed.
+        """Propose an event and return its outcome once it is committed.
 
-        None when this replica cannot tell whether it was.
+        Returns None when this replica cannot tell whether it was committed.
         """
         done = anyio.Event()
-        answers: list[outcome.Outcome | None] = []
+        decided: list[outcome.Outcome | None] = []
 
-        def take(told: outcome.Outcome | None) -> None:
-            answers.append(told)
+        def store(event_outcome: outcome.Outcome | None) -> None:
+            decided.append(event_outcome)
             done.set()
 
-        self.propose(occurred, take)
+        self.propose(new_event, store)
         await done.wait()
-        return answers[0]
+        return decided[0]
 
     def request_dispatch(self) -> None:
-        """Let waiting work be placed in the next round."""
+        """Place waiting tasks in the next round."""
         self._is_dispatch_due = True
         self._wake.set()
 
     def is_serving(self) -> bool:
-        """Return whether this replica may answer for the whole cell.
+        """Return whether this replica may answer requests for the cell.
 
-        True on a leader whose lease holds and that has applied all entries
-        of earlier terms.
+        True on a leader that holds its lease and has applied all entries of
+        earlier terms.
         """
         return self.has_caught_up() and node.holds_lease(
             self.node, clock.monotonic_ms()
@@ -167,11 +169,11 @@
         return self._journal.origin.process
 
     def backlog(self) -> int:
-        """Return how many events wait for the log."""
+        """Return the number of events waiting to be proposed."""
         return self._proposals.count_waiting()
 
     async def run(self) -> None:
-        """Run rounds for ever; raises StorageError when the disk fails."""
+        """Run rounds forever; raises StorageError when the disk fails."""
         while True:
             with anyio.move_on_after(TICK_INTERVAL_S):
                 await self._wake.wait()
@@ -179,18 +181,18 @@
             await self.run_round()
 
     async def run_round(self) -> None:
-        """Take what has arrived, and carry out what follows from it."""
+        """Process the queued inputs and carry out the resulting effects."""
         inputs = self._inputs
         self._inputs = []
         effects = raft.step(self.node, node.Tick(clock.monotonic_ms()))
-        for entered in inputs:
-            effects.extend(raft.step(self.node, entered))
-        effects.extend(self._propose_batch())
+        for new_input in inputs:
+            effects.extend(raft.step(self.node, new_input))
+        effects.extend(self._propose_waiting())
         await self._carry_out(effects)
         self._apply_committed()
         await self._take_snapshot()
 
-    def _propose_batch(self) -> list[node.Effect]:
+    def _propose_waiting(self) -> list[node.Effect]:
         if self.node.role is not node.Role.LEADER:
             self._proposals.abandon_all()
             return []
@@ -206,53 +208,57 @@
         return raft.step(self.node, node.Proposed((_encoder.encode(events),)))
 
     def _may_propose(self) -> bool:
-        # The first events of a term are those of a leader that has begun.
+        # Events of the start of a term must come first: it starts once all
+        # entries of earlier terms are applied.
         return self.has_caught_up() and not self._state_machine.has_pending()
 
     async def _carry_out(self, effects: list[node.Effect]) -> None:
-        for sent in effects:
-            if isinstance(sent, node.Send) and not sent.is_after_sync:
-                self.callbacks.send(sent.receiver, sent.body)
+        for candidate in effects:
+            if isinstance(candidate, node.Send) and not candidate.is_after_sync:
+                self.callbacks.send(candidate.receiver, candidate.body)
         applied: list[node.Effect] = []
         if await self._save_all(effects):
             last = self.node.log.last_index()
             term = self.node.log.last_term()
             applied = raft.step(self.node, node.Synced(last, term))
-        for effected in itertools.chain(effects, applied):
-            self._finish(effected)
+        for node_effect in itertools.chain(effects, applied):
+            self._execute(node_effect)
 
     async def _save_all(self, effects: list[node.Effect]) -> bool:
-        """Write and sync in order; return whether there was anything."""
+        """Write and sync the saves in order.
+
+        Returns whether there were any after the last installed snapshot.
+        """
         saves: list[node.SaveVote | node.SaveEntries] = []
-        for effected in effects:
-            if isinstance(effected, node.InstallSnapshot):
+        for node_effect in effects:
+            if isinstance(node_effect, node.InstallSnapshot):
                 await self._save(saves)
                 saves = []
-                await self._install(effected.snapshot)
-            elif isinstance(effected, node.SaveVote | node.SaveEntries):
-                saves.append(effected)
+                await self._install(node_effect.snapshot)
+            elif isinstance(node_effect, node.SaveVote | node.SaveEntries):
+                saves.append(node_effect)
         await self._save(saves)
         return bool(saves)
 
-    def _finish(self, effected: node.Effect) -> None:
-        if isinstance(effected, node.Send):
-            if effected.is_after_sync:
-                self.callbacks.send(effected.receiver, effected.body)
-        elif isinstance(effected, node.Apply):
-            self._state_machine.enqueue(effected.entry)
-        elif isinstance(effected, node.SendSnapshot):
-            self._send_snapshot(effected)
-        elif isinstance(effected, node.RoleChanged):
-            role = effected.role.value
-            self._journal.record('role', f'{role} in term {effected.term}')
+    def _execute(self, node_effect: node.Effect) -> None:
+        if isinstance(node_effect, node.Send):
+            if node_effect.is_after_sync:
+                self.callbacks.send(node_effect.receiver, node_effect.body)
+        elif isinstance(node_effect, node.Apply):
+            self._state_machine.enqueue(node_effect.entry)
+        elif isinstance(node_effect, node.SendSnapshot):
+            self._send_snapshot(node_effect)
+        elif isinstance(node_effect, node.RoleChanged):
+            role = node_effect.role.value
+            self._journal.record('role', f'{role} in term {node_effect.term}')
             self._proposals.abandon_all()
             self.callbacks.on_changed()
 
     def _send_snapshot(self, wanted: node.SendSnapshot) -> None:
-        held = self._disk.snapshot()
-        if held is None:
+        stored = self._disk.snapshot()
+        if stored is None:
             return
-        request = message.SnapshotRequest(wanted.term, held, wanted.sent_at)
+        request = message.SnapshotRequest(wanted.term, stored, wanted.sent_at)
         self.callbacks.send(wanted.receiver, request)
 
     async def _save(
@@ -270,26 +276,26 @@
         self.callbacks.on_changed()
 
     def _apply_committed(self) -> None:
-        until = clock.monotonic_ms() + APPLY_BUDGET_MS
+        deadline = clock.monotonic_ms() + APPLY_BUDGET_MS
         while self._state_machine.has_pending():
-            self._finish_entry(self._state_machine.apply_next())
-            if clock.monotonic_ms() >= until:
+            self._process_applied(self._state_machine.apply_next())
+            if clock.monotonic_ms() >= deadline:
                 self._wake.set()
                 return
 
-    def _finish_entry(self, applied: state_machine.AppliedEntry) -> None:
-        """Tell the outcomes of an entry, and carry out its effects.
+    def _process_applied(self, applied: state_machine.AppliedEntry) -> None:
+        """Report the outcomes of an applied entry and pass on its effects.
 
-        Entries of earlier terms have no effects here: whoever begins to lead
-        derives what is left to do from the state.
+        Effects of entries of earlier terms are not passed on: a new leader
+        derives the outstanding work from the state.
         """
         index = applied.entry.index
         self._proposals.resolve(index, applied.outcomes())
         is_leading = self.node.role is node.Role.LEADER
-        begins = is_leading and index == self.node.term_started_index
-        if begins:
+        starts_term = is_leading and index == self.node.term_started_index
+        if starts_term:
             self._clock.advance(self.tables.time)
-        if begins or applied.entry.kind is message.EntryKind.MEMBERSHIP:
+        if starts_term or applied.entry.kind is message.EntryKind.MEMBERSHIP:
             self.callbacks.on_changed()
         if is_leading and index > self.node.term_started_index:
             for effects in applied.effects:
@@ -297,9 +303,9 @@
 
     async def _take_snapshot(self) -> None:
         applied = self._state_machine.applied_index
-        grown = len(self.tables.tasks) // TASKS_PER_ENTRY
-        least = max(self._snapshot_entries, grown)
-        if applied - self._snapshot_index < least:
+        task_threshold = len(self.tables.tasks) // TASKS_PER_SNAPSHOT_ENTRY
+        threshold = max(self._snapshot_entries, task_threshold)
+        if applied - self._snapshot_index < threshold:
             return
         term = self.node.log.term_at(applied)
         if term is None:
@@ -313,5 +319,5 @@
         self._snapshot_index = applied
         await run_sync(self._disk.save_snapshot, taken)
         await run_sync(self._disk.rotate, self.node.log.last_index() + 1)
-        kept = max(applied - _TRAILING_ENTRIES, 0)
-        raft.step(self.node, node.Compacted(kept))
+        compacted_index = max(applied - _RETAINED_ENTRIES, 0)
+        raft.step(self.node, node.Compacted(compacted_index))
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -1,4 +1,4 @@
-"""What a replica does beyond the log while it leads."""
+"""Duties of the leader: leases, assignments, delivery, requests, repair."""
 
 from __future__ import annotations
 
@@ -31,107 +31,116 @@
     view,
 )
 
-_ROUND_S = 0.1
-_DISPATCH_MS = 250
-_REPAIR_MS = 200
-_GAUGE_MS = 1000
+_ROUND_INTERVAL_S = 0.1
+_DISPATCH_INTERVAL_MS = 250
+_REPAIR_INTERVAL_MS = 200
+_GAUGE_INTERVAL_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipPolicy:
-    """How many voters are wanted and how long a silent one is kept."""
+    """The desired number of voters, and when a silent one is replaced."""
 
     voters: int
     repair_after_ms: int
 
 
 class Leader:
-    """Serves the entries, counts leases, carries out effects, repairs."""
+    """Serves the entries, tracks leases, carries out effects and repairs."""
 
     def __init__(
         self,
-        running: engine.Engine,
-        lines: journal.Journal,
+        replica_engine: engine.Engine,
+        logger: journal.Journal,
         metrics: metric.Metrics,
         policy: MembershipPolicy,
         statuses: status.Statuses,
     ) -> None:
-        """Prepare; nothing is done before this replica leads."""
+        """Prepare; nothing runs before this replica leads."""
         self.links = link.Links(
-            running, lines, statuses.meter, self._receive, self._open
+            replica_engine,
+            logger,
+            statuses.meter,
+            self._receive,
+            self._introduce,
         )
-        self.registry = registry.Registry(running)
+        self.registry = registry.Registry(replica_engine)
         self._statuses = statuses
-        self._engine = running
-        self._journal = lines
+        self._engine = replica_engine
+        self._journal = logger
         self._metrics = metrics
         self._absence_monitor = absence_monitor.AbsenceMonitor(
-            running, lines, metrics
+            replica_engine, logger, metrics
         )
         self._policy = policy
         self._term = 0
         self._dispatched_at = 0
         self._repaired_at = 0
         self._gauged_at = 0
-        self._begin()
+        self._reset()
 
     async def run(self) -> None:
-        """Do the leader's rounds for ever, while this replica leads."""
+        """Run the periodic work forever, in rounds while this replica leads."""
         while True:
-            await anyio.sleep(_ROUND_S)
+            await anyio.sleep(_ROUND_INTERVAL_S)
             if self._engine.is_serving():
                 self._run_round(clock.monotonic_ms())
 
     def update_role(self) -> None:
-        """Start anew when this replica has begun to lead a term.
+        """Reset the leader's components when this replica leads a new term.
 
-        It begins once all entries of earlier terms are applied: what is left
-        to do is derived from the state then.
+        This waits until all entries of earlier terms are applied, because the
+        outstanding work is derived from the state.
         """
-        running = self._engine.node
+        raft_node = self._engine.node
         is_leading = (
-            running.role is node.Role.LEADER and self._engine.has_caught_up()
+            raft_node.role is node.Role.LEADER and self._engine.has_caught_up()
         )
-        if is_leading and running.term != self._term:
-            self._term = running.term
-            self._begin()
+        if is_leading and raft_node.term != self._term:
+            self._term = raft_node.term
+            self._reset()
             self._engine.propose(
                 event.LeadershipBegun(self._engine.time()),
                 proposal.ignore_outcome,
             )
-        if running.role is not node.Role.LEADER:
+        if raft_node.role is not node.Role.LEADER:
             self._absence_monitor.clear()
         self.links.broadcast(self._members_changed())
 
     def carry_out(self, effects: list[effect.Effect]) -> None:
         """Carry out the effects of one applied event."""
-        for effected in effects:
-            carry = self._effects.get(type(effected))
-            if carry is not None:
-                carry(effected)
+        for applied_effect in effects:
+            execute = self._effects.get(type(applied_effect))
+            if execute is not None:
+                execute(applied_effect)
 
     def join(self, request: wire.JoinRequest) -> wire.JoinReply:
-        """Admit a replica with an empty disk as a spare."""
-        running = self._engine.node
-        known = running.membership.find(request.member.identity) is not None
-        members = running.membership.members
+        """Admit a replica with an empty disk as a spare.
+
+        Any other replica than the leader answers with the leader's address.
+        """
+        raft_node = self._engine.node
+        is_member = (
+            raft_node.membership.find(request.member.identity) is not None
+        )
+        members = raft_node.membership.members
         if not self._engine.is_serving():
             leader = (
-                running.membership.find(running.leader)
-                if running.leader
+                raft_node.membership.find(raft_node.leader)
+                if raft_node.leader
                 else None
             )
             address = leader.address if leader else ''
-            return wire.JoinReply(known, address, members)
-        planned = repair.admit(running, request.member)
+            return wire.JoinReply(is_member, address, members)
+        planned = repair.admit(raft_node, request.member)
         if planned is not None:
             self._journal.record('spare admitted', request.member.identity)
             self._engine.enqueue(node.MembershipProposed(planned))
-        return wire.JoinReply(known, '', members)
+        return wire.JoinReply(is_member, '', members)
 
-    def _begin(self) -> None:
+    def _reset(self) -> None:
         now = clock.monotonic_ms()
-        self._leases = lease.Leases(now, self._lease_length)
+        self._leases = lease.Leases(now, self._lease_length_of)
         self._delivery = delivery.Delivery(
             self._engine, self.links, self._leases
         )
@@ -177,9 +186,9 @@
                     effect.AcknowledgeEnds: self._delivery.acknowledge,
                     effect.EndSession: self._end_session,
                     effect.ReportJobEnd: self._report_job_end,
-                    effect.PublishConfiguration: self._publish,
+                    effect.PublishConfiguration: self._publish_configuration,
                     effect.AskAdvice: self._advice_queue.add,
-                    effect.Trace: self._trace,
+                    effect.Trace: self._record_trace,
                 }
             )
         )
@@ -197,15 +206,15 @@
         self._assignments.rebalance(now)
         self._advice_queue.send_waiting()
         self._delivery.resend_overdue(now)
-        self._dispatch_when_due(now)
-        if now - self._repaired_at >= _REPAIR_MS:
+        self._dispatch_if_due(now)
+        if now - self._repaired_at >= _REPAIR_INTERVAL_MS:
             self._repaired_at = now
-            self._repair()
-        if now - self._gauged_at >= _GAUGE_MS:
+            self._repair_membership()
+        if now - self._gauged_at >= _GAUGE_INTERVAL_MS:
             self._gauged_at = now
-            self._gauge()
+            self._update_gauges()
 
-    def _dispatch_when_due(self, now: int) -> None:
+    def _dispatch_if_due(self, now: int) -> None:
         waiting = self._engine.tables.waiting
         is_due = (
             bool(waiting.queues)
@@ -213,35 +222,35 @@
             or confirmation.is_due(self._engine.tables, self._engine.time())
             or foresight.is_due(self._engine.tables)
         )
-        if is_due and now - self._dispatched_at >= _DISPATCH_MS:
+        if is_due and now - self._dispatched_at >= _DISPATCH_INTERVAL_MS:
             self._dispatched_at = now
             self._engine.request_dispatch()
 
     def _is_timer_due(self) -> bool:
         tables = self._engine.tables
-        wall = self._engine.time()
+        event_time = self._engine.time()
         document = tables.configuration.document
-        oldest = wall - document.finished_retention_ms
+        retained_since = event_time - document.finished_retention_ms
         delayed = tables.waiting.delayed
         return bool(
-            (delayed and delayed[0][0] <= wall)
-            or (tables.quarantined and tables.quarantined[0][0] <= wall)
-            or (tables.finished and tables.finished[0][0] < oldest)
-            or (tables.due and tables.due[0][0] <= wall)
+            (delayed and delayed[0][0] <= event_time)
+            or (tables.quarantined and tables.quarantined[0][0] <= event_time)
+            or (tables.finished and tables.finished[0][0] < retained_since)
+            or (tables.due and tables.due[0][0] <= event_time)
         )
 
-    def _repair(self) -> None:
+    def _repair_membership(self) -> None:
         planned = repair.plan(
             self._engine.node,
             voters=self._policy.voters,
             patience_ms=self._policy.repair_after_ms,
         )
         if planned is not None:
-            listed = ', '.join(planned.voters())
-            self._journal.record('membership proposed', f'voters {listed}')
+            voter_names = ', '.join(planned.voters())
+            self._journal.record('membership proposed', f'voters {voter_names}')
             self._engine.enqueue(node.MembershipProposed(planned))
 
-    def _gauge(self) -> None:
+    def _update_gauges(self) -> None:
         tables = self._engine.tables
         self._metrics.gauge('attempts', len(tables.attempts))
         self._metrics.gauge('sessions', len(tables.sessions))
@@ -256,13 +265,13 @@
             job = step.split('.', maxsplit=1)[0]
             self._journal.record('first in queue', f'{step} {detail}', job=job)
 
-    def _open(self, opened: link.Link) -> None:
-        opened.send(self._members_changed())
-        opened.send(self._configuration_changed())
-        self._journal.record('entry linked', opened.process)
+    def _introduce(self, opened_link: link.Link) -> None:
+        opened_link.send(self._members_changed())
+        opened_link.send(self._configuration_changed())
+        self._journal.record('entry linked', opened_link.process)
 
     def _configuration_changed(self) -> wire.ConfigurationChanged:
-        # Entries have no use for the operator's own text of the routing.
+        # Entries do not use the operator's source text of the routing.
         current = self._engine.tables.configuration
         routing = msgspec.structs.replace(current.routing, source='')
         return wire.ConfigurationChanged(
@@ -271,46 +280,48 @@
 
     def _members_changed(self) -> wire.MembersChanged:
         members = self._engine.node.membership.members
-        return wire.MembersChanged(tuple(one.address for one in members))
+        return wire.MembersChanged(tuple(member.address for member in members))
 
     def _receive(self, origin: link.Link, received: wire.FromEntry) -> None:
         if self._engine.is_serving():
             self._message_handler.receive(origin, received)
 
-    def _lease_length(self, session: identity.SessionId) -> int:
-        known = self._engine.tables.sessions.get(session)
-        return known.lease_ms if known else target.LEASE_MS
+    def _lease_length_of(self, session: identity.SessionId) -> int:
+        record = self._engine.tables.sessions.get(session)
+        return record.lease_ms if record else target.LEASE_MS
 
-    def _start(self, effected: effect.StartAttempt) -> None:
+    def _start(self, applied_effect: effect.StartAttempt) -> None:
         self._metrics.incr('starts')
-        attempt = effected.attempt
+        attempt = applied_effect.attempt
         task = self._engine.tables.tasks[attempt.task]
         self._metrics.timing('wait', attempt.placed_at - task.waiting_since)
         self._delivery.start(attempt, clock.monotonic_ms())
 
-    def _stop(self, effected: effect.StopAttempt) -> None:
-        self._delivery.stop(effected.attempt, clock.monotonic_ms())
+    def _stop(self, applied_effect: effect.StopAttempt) -> None:
+        self._delivery.stop(applied_effect.attempt, clock.monotonic_ms())
 
-    def _throttle(self, effected: effect.ThrottleAttempt) -> None:
-        self._delivery.throttle(effected.attempt)
+    def _throttle(self, applied_effect: effect.ThrottleAttempt) -> None:
+        self._delivery.throttle(applied_effect.attempt)
 
-    def _end_session(self, effected: effect.EndSession) -> None:
-        entry = self._leases.entry_of(effected.session)
-        self.links.send(entry, wire.Gone((effected.session,)))
-        self._leases.remove(effected.session)
+    def _end_session(self, applied_effect: effect.EndSession) -> None:
+        entry = self._leases.entry_of(applied_effect.session)
+        self.links.send(entry, wire.Gone((applied_effect.session,)))
+        self._leases.remove(applied_effect.session)
 
-    def _report_job_end(self, effected: effect.ReportJobEnd) -> None:
-        self._requests.answer_job_waiters(effected.job)
+    def _report_job_end(self, applied_effect: effect.ReportJobEnd) -> None:
+        self._requests.answer_job_waiters(applied_effect.job)
 
-    def _publish(self, effected: effect.PublishConfiguration) -> None:
+    def _publish_configuration(
+        self, applied_effect: effect.PublishConfiguration
+    ) -> None:
         self.links.broadcast(self._configuration_changed())
 
-    def _trace(self, effected: effect.Trace) -> None:
+    def _record_trace(self, applied_effect: effect.Trace) -> None:
         self._journal.record(
-            effected.what,
-            effected.detail,
-            job=effected.job,
-            task=effected.task,
-            attempt=effected.attempt,
-            target=effected.target,
+            applied_effect.what,
+            applied_effect.detail,
+            job=applied_effect.job,
+            task=applied_effect.task,
+            attempt=applied_effect.attempt,
+            target=applied_effect.target,
         )
--- a/mulberrywalk/replica/lease.py
+++ b/mulberrywalk/replica/lease.py
@@ -1,8 +1,8 @@
-"""Leases of target sessions, as the leader counts them; not replicated.
+"""Leases of target sessions, tracked by the leader and not replicated.
 
-The target counts a lease from when it sent a renewal, the leader from when
-it received it, plus a margin. So the target has always stopped before the
-leader declares the session dead.
+The target counts a lease from when it sent a renewal; the leader counts it
+from when it received the renewal, and adds a margin. The target has therefore
+always stopped its work before the leader declares the session expired.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 @dataclasses.dataclass(slots=True)
 class SessionLease:
-    """When a session was last renewed, and which entry carries it."""
+    """When a session was last renewed, and the entry that serves it."""
 
     renewed_at: int
     entry: str = ''
 
 
-def _usual_length(_: identity.SessionId) -> int:
+def _default_length(_: identity.SessionId) -> int:
     return target.LEASE_MS
 
 
@@ -34,68 +34,68 @@
     def __init__(
         self,
         now: int,
-        length_of: Callable[[identity.SessionId], int] = _usual_length,
+        length_of: Callable[[identity.SessionId], int] = _default_length,
     ) -> None:
-        """Start as a new leader: every session may have renewed just now.
+        """Start as a new leader: every session may have just been renewed.
 
-        length_of tells the length of a session's lease in milliseconds.
+        length_of returns the length of a session's lease in milliseconds.
         """
-        self._led_from = now
+        self._term_started_at = now
         self._length_of = length_of
         self._sessions: dict[identity.SessionId, SessionLease] = {}
         self._expiring: set[identity.SessionId] = set()
 
     def add_new(self, sessions: Iterable[identity.SessionId], now: int) -> None:
-        """Count the leases of sessions that are new to this leader from now."""
+        """Start the leases of sessions that are new to this leader."""
         for session in sessions:
             self._sessions.setdefault(session, SessionLease(now))
 
     def renew(self, session: identity.SessionId, entry: str, now: int) -> bool:
-        """Renew a lease, unless it is being declared over.
+        """Renew a lease, unless it has expired.
 
-        Returns whether the session has come to another entry.
+        Returns whether the session has changed to another entry.
         """
         if session in self._expiring:
             return False
-        known = self._sessions.get(session)
-        if known is None:
+        record = self._sessions.get(session)
+        if record is None:
             self._sessions[session] = SessionLease(now, entry)
             return True
-        is_moved = known.entry != entry
-        known.renewed_at = now
-        known.entry = entry
-        return is_moved
+        has_moved = record.entry != entry
+        record.renewed_at = now
+        record.entry = entry
+        return has_moved
 
     def assign(self, session: identity.SessionId, entry: str) -> None:
-        """Note which entry is to call the target of a session.
+        """Record the entry that is to call the target of a session.
 
-        The lease is not renewed by that.
+        This does not renew the lease.
         """
-        known = self._sessions.get(session)
-        if known is None:
-            known = SessionLease(self._led_from)
-            self._sessions[session] = known
-        known.entry = entry
+        record = self._sessions.get(session)
+        if record is None:
+            record = SessionLease(self._term_started_at)
+            self._sessions[session] = record
+        record.entry = entry
 
     def backdate(self, session: identity.SessionId, renewed_at: int) -> None:
-        """Count a lease that an earlier leader is known not to have renewed."""
+        """Start a lease at a time since which no earlier leader renewed it."""
         self._sessions[session] = SessionLease(renewed_at)
 
     def is_expiring(self, session: identity.SessionId) -> bool:
-        """Return whether a session is being declared over."""
+        """Return whether the lease of a session has expired."""
         return session in self._expiring
 
     def entry_of(self, session: identity.SessionId) -> str:
-        """Return the entry that carries a session, or nothing."""
-        known = self._sessions.get(session)
-        return known.entry if known else ''
+        """Return the entry that serves a session, or an empty string."""
+        record = self._sessions.get(session)
+        return record.entry if record else ''
 
     def expire(
         self, sessions: Iterable[identity.SessionId], now: int
     ) -> list[identity.SessionId]:
-        """Return the sessions whose lease has run out, each one once.
+        """Return the sessions whose lease has newly expired.
 
-        From then on they cannot be renewed any more.
+        Each session is returned once and cannot be renewed afterwards.
         """
         expired = [
             session
@@ -106,14 +106,17 @@
         return expired
 
     def remove(self, session: identity.SessionId) -> None:
-        """Drop a session that has ended."""
+        """Remove a session that has ended."""
         self._sessions.pop(session, None)
         self._expiring.discard(session)
 
     def renewed_at(self, session: identity.SessionId) -> int:
-        """Return when a session was renewed, or this replica began to lead."""
-        known = self._sessions.get(session)
-        return known.renewed_at if known else self._led_from
+        """Return when a session was last renewed.
+
+        Sessions not known yet count from when this replica began to lead.
+        """
+        record = self._sessions.get(session)
+        return record.renewed_at if record else self._term_started_at
 
     def _expires_at(self, session: identity.SessionId) -> int:
         length = self._length_of(session)
--- a/mulberrywalk/replica/link.py
+++ b/mulberrywalk/replica/link.py
@@ -1,4 +1,4 @@
-"""The streams of the entries, as the leader holds them."""
+"""The leader's connections to the entries."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 from ..transport import channel, wire
 from . import engine
 
-# Well within the silence after which an entry gives a stream up.
-_ELECTION_S = 0.5
-_POLL_S = 0.02
+# Well below the silence after which an entry closes its stream.
+_ELECTION_WAIT_S = 0.5
+_POLL_INTERVAL_S = 0.02
 
 EntryStream = channel.Stream[wire.ToEntryBatch, wire.FromEntryBatch]
 
 
 @dataclasses.dataclass(slots=True)
 class Link:
-    """One entry's stream; version is the configuration that it applies."""
+    """The connection to one entry.
+
+    version is that of the configuration that the entry applies.
+    """
 
     process: str
     data_centre: str
@@ -40,37 +43,37 @@
 
 
 class Links:
-    """All entries that are linked to this replica while it leads."""
+    """The open links from entries to this replica while it leads."""
 
     def __init__(
         self,
-        running: engine.Engine,
-        lines: journal.Journal,
+        replica_engine: engine.Engine,
+        logger: journal.Journal,
         meter: cost.Meter,
-        received: Callable[[Link, wire.FromEntry], None],
-        opened: Callable[[Link], None],
+        on_message: Callable[[Link, wire.FromEntry], None],
+        on_open: Callable[[Link], None],
     ) -> None:
-        """Hand each message to received, each new link to opened."""
+        """Pass each message to on_message and each new link to on_open."""
         self.open: dict[str, Link] = {}
-        self._engine = running
-        self._journal = lines
+        self._engine = replica_engine
+        self._journal = logger
         self._meter = meter
-        self._received = received
-        self._opened = opened
+        self._on_message = on_message
+        self._on_open = on_open
 
     def send(self, process: str, message: wire.ToEntry) -> None:
-        """Queue a message for an entry; dropped when it is not linked."""
+        """Queue a message for an entry; drop it when there is no link."""
         link = self.open.get(process)
         if link is not None:
             link.send(message)
 
     def broadcast(self, message: wire.ToEntry) -> None:
-        """Queue a message for all entries."""
+        """Queue a message for all linked entries."""
         for link in self.open.values():
             link.send(message)
 
     async def accept(self, context: Any) -> None:
-        """Serve an entry until either end closes or falls silent."""
+        """Serve an entry until either end closes or stops sending."""
         stream: EntryStream = channel.Stream(
             context, wire.FromEntryBatch, self._meter
         )
@@ -84,13 +87,13 @@
             return
         link = Link(first.process, first.data_centre)
         self.open[link.process] = link
-        self._opened(link)
+        self._on_open(link)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._read, stream, link, first)
                 group.start_soon(self._write, stream, link)
         except* ConnectionError:
-            self._journal.warn(f'the link of {link.process} has closed')
+            self._journal.warn(f'link to entry {link.process} closed')
         finally:
             if self.open.get(link.process) is link:
                 self.open.pop(link.process)
@@ -102,7 +105,7 @@
         while True:
             self._journal.clock.witness(batch.clock)
             for message in batch.messages:
-                self._received(link, message)
+                self._on_message(link, message)
             batch = await stream.receive()
 
     async def _write(self, stream: EntryStream, link: Link) -> None:
@@ -110,7 +113,7 @@
             messages = await link.outbox.take(channel.PULSE_S)
             if not self._engine.is_serving():
                 await self._redirect(stream)
-                raise ConnectionError('this replica leads no more')
+                raise ConnectionError('this replica is no longer the leader')
             version = self._engine.tables.configuration.version
             await stream.send(
                 self._batch(
@@ -122,22 +125,22 @@
             )
 
     async def _wait_for_leader(self) -> None:
-        """Hold an entry that asks during an election until it is over."""
-        with anyio.move_on_after(_ELECTION_S):
+        """Delay an entry that connects during an election, until it ends."""
+        with anyio.move_on_after(_ELECTION_WAIT_S):
             while not self._engine.is_serving() and not self._find_leader():
-                await anyio.sleep(_POLL_S)
+                await anyio.sleep(_POLL_INTERVAL_S)
 
     def _find_leader(self) -> str:
-        """Return the address of another replica that was heard leading.
+        """Return the address of another replica that leads, or an empty string.
 
-        One that was not heard lately may be the one that an entry has just
-        lost.
+        A leader that was not heard from recently is left out: the entry may
+        have just lost its connection to it.
         """
-        replica = self._engine.node
-        if not replica.leader or not election.is_leased(replica):
+        raft_node = self._engine.node
+        if not raft_node.leader or not election.is_leased(raft_node):
             return ''
-        member = replica.membership.find(replica.leader)
-        is_other = member is not None and replica.leader != replica.identity
+        member = raft_node.membership.find(raft_node.leader)
+        is_other = member is not None and raft_node.leader != raft_node.identity
         return member.address if member and is_other else ''
 
     async def _redirect(self, stream: EntryStream) -> None:
--- a/mulberrywalk/replica/message_handler.py
+++ b/mulberrywalk/replica/message_handler.py
@@ -1,4 +1,4 @@
-"""What the leader makes of the messages of entries."""
+"""Handling of messages from entries on the leader."""
 
 from __future__ import annotations
 
@@ -25,47 +25,47 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaderComponents:
-    """The parts of a leader that messages of entries concern."""
+    """The components of a leader that handle messages from entries."""
 
     leases: lease.Leases
     silence_detector: silence.SilenceDetector
     delivery: delivery.Delivery
     assignments: assignment.Assignments
-    advice_queue: advice_queue.AdviceQueue
+    advice_requests: advice_queue.AdviceQueue
     requests: request.Requests
 
 
 class MessageHandler:
-    """Takes each message while this replica leads."""
+    """Handles messages from entries while this replica leads."""
 
     def __init__(
-        self, running: engine.Engine, components: LeaderComponents
+        self, replica_engine: engine.Engine, components: LeaderComponents
     ) -> None:
-        """Hand messages on to the components, or propose them as events."""
-        self._engine = running
+        """Pass messages on to the components or propose them as events."""
+        self._engine = replica_engine
         self._components = components
-        self._takers: MappingProxyType[Any, Callable[..., None]] = (
+        self._handlers: MappingProxyType[Any, Callable[..., None]] = (
             MappingProxyType(
                 {
-                    wire.Call: self._take_call,
+                    wire.Call: self._serve_call,
                     wire.Renewals: self._renew,
-                    wire.Carried: self._keep_carried,
+                    wire.Carried: self._accept_claims,
                     wire.Report: self._propose_report,
-                    wire.Departure: self._take_departure,
-                    wire.Advised: self._take_advice,
-                    wire.EntryPulse: self._take_pulse,
+                    wire.Departure: self._propose_departure,
+                    wire.Advised: self._propose_advice,
+                    wire.EntryPulse: self._record_pulse,
                 }
             )
         )
 
     def receive(self, origin: link.Link, received: wire.FromEntry) -> None:
-        """Take one message of an entry."""
-        self._takers[type(received)](origin, received)
+        """Handle one message from an entry."""
+        self._handlers[type(received)](origin, received)
 
-    def _take_call(self, origin: link.Link, received: wire.Call) -> None:
+    def _serve_call(self, origin: link.Link, received: wire.Call) -> None:
         self._components.requests.serve(origin, received)
 
-    def _take_departure(
+    def _propose_departure(
         self, origin: link.Link, received: wire.Departure
     ) -> None:
         self._engine.propose(
@@ -73,14 +73,18 @@
             proposal.ignore_outcome,
         )
 
-    def _take_pulse(self, origin: link.Link, received: wire.EntryPulse) -> None:
+    def _record_pulse(
+        self, origin: link.Link, received: wire.EntryPulse
+    ) -> None:
         origin.is_stopping = received.is_stopping
         origin.version = received.version
         origin.pulse_sent_at = received.sent_at
         origin.cost = received.cost
 
-    def _take_advice(self, origin: link.Link, received: wire.Advised) -> None:
-        self._components.advice_queue.complete(received.step)
+    def _propose_advice(
+        self, origin: link.Link, received: wire.Advised
+    ) -> None:
+        self._components.advice_requests.complete(received.step)
         self._engine.propose(
             event.AdviceReceived(
                 self._engine.time(),
@@ -98,9 +102,9 @@
         renewed: list[tuple[identity.SessionId, int]] = []
         gone: list[identity.SessionId] = []
         for session, count in received.sessions:
-            if not self._is_carried(session, origin, now):
+            if not self._may_serve(session, origin, now):
                 gone.append(session)
-            elif self._may_renew(session, now):
+            elif self._is_renewable(session, now):
                 renewed.append((session, count))
                 if leases.renew(session, origin.process, now):
                     self._components.delivery.resend_session(session, now)
@@ -109,7 +113,7 @@
         if gone:
             origin.send(wire.Gone(tuple(gone)))
 
-    def _keep_carried(self, origin: link.Link, received: wire.Carried) -> None:
+    def _accept_claims(self, origin: link.Link, received: wire.Carried) -> None:
         now = clock.monotonic_ms()
         assignments = self._components.assignments
         gone = tuple(
@@ -121,22 +125,23 @@
             origin.send(wire.Gone(gone))
         assignments.resend_missing(origin, received.sessions, now)
 
-    def _may_renew(self, session: identity.SessionId, now: int) -> bool:
-        """Return whether a lease is neither over nor in a silence.
+    def _is_renewable(self, session: identity.SessionId, now: int) -> bool:
+        """Return whether a lease is not expiring and its target not silent.
 
-        After a silence it is renewed once it is noted that it is over: a later
-        leader may count the lease from the silence.
+        After a silence, the lease is renewed only once the end of the silence
+        is committed: until then, a later leader may count the lease from the
+        start of the silence.
         """
         components = self._components
-        is_over = components.leases.is_expiring(session)
-        return not is_over and components.silence_detector.record_contact(
+        has_expired = components.leases.is_expiring(session)
+        return not has_expired and components.silence_detector.record_contact(
             session, now
         )
 
-    def _is_carried(
+    def _may_serve(
         self, session: identity.SessionId, origin: link.Link, now: int
     ) -> bool:
-        """Return whether a session is live, and may be with that entry."""
+        """Return whether a session is live and the entry may serve it."""
         if session not in self._engine.tables.sessions:
             return False
         assignments = self._components.assignments
@@ -144,30 +149,32 @@
             session, origin.process
         ) or assignments.accept_claim(session, origin, now)
 
-    def _bar_strangers(self, origin: link.Link, received: wire.Report) -> None:
-        """Stop what a target runs that no live attempt of its session is.
+    def _stop_unknown_attempts(
+        self, origin: link.Link, received: wire.Report
+    ) -> None:
+        """Stop reported attempts that are not live attempts of the session.
 
-        An order that was held up may be carried out after its attempt has
-        ended or was given up.
+        A delayed start command may be executed after its attempt has ended
+        or was abandoned.
         """
         attempts = self._engine.tables.attempts
-        strangers = tuple(
-            wire.StopCommand(one.attempt, is_checkpointed=False)
-            for one in received.started
-            if one.attempt not in attempts
-            or attempts[one.attempt].session != received.session
+        stop_commands = tuple(
+            wire.StopCommand(reported.attempt, is_checkpointed=False)
+            for reported in received.started
+            if reported.attempt not in attempts
+            or attempts[reported.attempt].session != received.session
         )
-        if strangers:
+        if stop_commands:
             term = self._engine.node.term
             origin.send(
-                wire.Commands(received.session, stop=strangers, term=term)
+                wire.Commands(received.session, stop=stop_commands, term=term)
             )
 
     def _propose_report(self, origin: link.Link, received: wire.Report) -> None:
-        self._bar_strangers(origin, received)
+        self._stop_unknown_attempts(origin, received)
 
-        def tell(told: outcome.Outcome | None) -> None:
-            if isinstance(told, outcome.NotRun):
+        def notify(event_outcome: outcome.Outcome | None) -> None:
+            if isinstance(event_outcome, outcome.NotRun):
                 origin.send(wire.Gone((received.session,)))
 
         self._engine.propose(
@@ -179,5 +186,5 @@
                 received.usage,
                 received.saved,
             ),
-            tell,
+            notify,
         )
--- a/mulberrywalk/replica/peer.py
+++ b/mulberrywalk/replica/peer.py
@@ -1,4 +1,4 @@
-"""Streams that carry consensus messages to the other replicas."""
+"""Streams of consensus messages between the replicas."""
 
 from __future__ import annotations
 
@@ -13,60 +13,61 @@
 from ..transport import channel, wire
 from . import engine, status
 
-_REDIAL_S = 0.1
-# Appends beyond this are dropped and sent again by the consensus.
+_REDIAL_DELAY_S = 0.1
+# Messages beyond this limit are dropped; the consensus resends them.
 _OUTBOX_LIMIT = 1000
 
 
 class Peers:
-    """One outgoing stream to each other replica; incoming ones are served."""
+    """Sends on one stream to each other replica and serves their streams."""
 
     def __init__(
         self,
-        running: engine.Engine,
-        lines: journal.Journal,
+        replica_engine: engine.Engine,
+        logger: journal.Journal,
         statuses: status.Statuses,
         group: TaskGroup,
     ) -> None:
-        """Prepare; streams are dialled as messages are first sent.
+        """Prepare; a stream is opened when its first message is sent.
 
-        statuses takes what the other replicas tell.
+        statuses receives the statuses that the other replicas report.
         """
-        self._engine = running
-        self._journal = lines
+        self._engine = replica_engine
+        self._journal = logger
         self._statuses = statuses
         self._group = group
         self._outboxes: dict[str, channel.Outbox[message.Message]] = {}
         self._scopes: dict[str, anyio.CancelScope] = {}
-        self._introduced: dict[message.ReplicaId, message.Member] = {}
+        self._learned: dict[message.ReplicaId, message.Member] = {}
 
     def learn_members(self, members: tuple[message.Member, ...]) -> None:
-        """Take note of replicas that the own log does not name yet.
+        """Store the addresses of replicas that are not in the own log yet.
 
-        One with an empty log has to answer its leader to get a log at all.
+        A replica with an empty log must answer its leader to receive any
+        entries.
         """
-        self._introduced = {one.identity: one for one in members}
+        self._learned = {member.identity: member for member in members}
 
     def send(self, receiver: message.ReplicaId, body: message.Message) -> None:
-        """Queue a message; it is dropped when the receiver is unknown."""
+        """Queue a message; drop it when the receiver is unknown."""
         member = self._engine.node.membership.find(receiver)
         if member is None and not self._engine.node.membership.members:
-            member = self._introduced.get(receiver)
+            member = self._learned.get(receiver)
         if member is None:
             return
         key = f'{receiver}@{member.address}'
         if key not in self._outboxes:
             self._outboxes[key] = channel.Outbox(_OUTBOX_LIMIT)
-            self._group.start_soon(self._serve_outbox, key, member)
+            self._group.start_soon(self._run_outbox, key, member)
         self._outboxes[key].put(body)
 
     def close_removed(self) -> None:
-        """Close the streams to replicas that are members no more."""
-        kept = {
-            f'{one.identity}@{one.address}'
-            for one in self._engine.node.membership.members
+        """Close the streams to replicas that are no longer members."""
+        current = {
+            f'{member.identity}@{member.address}'
+            for member in self._engine.node.membership.members
         }
-        removed = set(self._outboxes) - kept
+        removed = set(self._outboxes) - current
         for key in removed:
             self._outboxes.pop(key)
             scope = self._scopes.pop(key, None)
@@ -74,7 +75,7 @@
                 scope.cancel()
 
     async def accept(self, context: Any) -> None:
-        """Serve the stream of another replica until it falls silent."""
+        """Serve the stream of another replica until it closes or times out."""
         stream: channel.Stream[wire.PeerBatch, wire.PeerBatch]
         stream = channel.Stream(context, wire.PeerBatch, self._statuses.meter)
         try:
@@ -87,26 +88,26 @@
         except ConnectionError:
             return
 
-    async def _serve_outbox(self, key: str, member: message.Member) -> None:
+    async def _run_outbox(self, key: str, member: message.Member) -> None:
         with anyio.CancelScope() as scope:
             self._scopes[key] = scope
             while True:
                 try:
-                    await self._feed(self._outboxes[key], member)
+                    await self._send_from(self._outboxes[key], member)
                 except ConnectionError:
                     self._statuses.update(member.identity, None)
-                    await anyio.sleep(_REDIAL_S)
+                    await anyio.sleep(_REDIAL_DELAY_S)
 
-    async def _feed(
+    async def _send_from(
         self, outbox: channel.Outbox[message.Message], member: message.Member
     ) -> None:
-        async with channel.dial(member.address) as dialled:
+        async with channel.dial(member.address) as connection:
             stream = channel.open_stream(
-                dialled, channel.PEER, wire.PeerBatch, self._statuses.meter
+                connection, channel.PEER, wire.PeerBatch, self._statuses.meter
             )
             while True:
-                taken = await outbox.take(channel.PULSE_S)
-                await stream.send(self._batch(taken))
+                messages = await outbox.take(channel.PULSE_S)
+                await stream.send(self._batch(messages))
                 reply = await stream.receive()
                 self._journal.clock.witness(reply.clock)
                 self._statuses.update(member.identity, reply.status)
--- a/mulberrywalk/replica/program.py
+++ b/mulberrywalk/replica/program.py
@@ -1,4 +1,4 @@
-"""The replica program: settings, composition and life cycle."""
+"""The replica program: settings, composition and lifecycle."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 from . import engine, leader, peer, status
 
 _EXIT_STORAGE = 3
-_HANDOVER_S = 4.0
-_POLL_S = 0.05
-_JOIN_S = 0.2
-# Silence of the leader after which a replica asks whether it still counts.
-_UNHEARD_MS = 2500
+_HANDOVER_TIMEOUT_S = 4.0
+_POLL_INTERVAL_S = 0.05
+_JOIN_INTERVAL_S = 0.2
+# Silence of the leader after which a replica asks to join again.
+_LEADER_TIMEOUT_MS = 2500
 _LOG_FORMATS = frozenset(('text', 'json'))
-_LONGEST_MS = 86_400_000
-_MOST_ENTRIES = 10_000_000
+_MAX_DURATION_MS = 86_400_000
+_MAX_ENTRIES = 10_000_000
 
 application = typer.Typer(add_completion=False, no_args_is_help=True)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Checked settings of a replica; addresses are host:port."""
+    """Validated settings of a replica; addresses are host:port."""
 
     name: str
     data_centre: str
@@ -102,11 +102,11 @@
         str, typer.Option(envvar='MULBERRYWALK_SNAPSHOT_ENTRIES')
     ] = '20000',
 ) -> None:
-    """Run the replica of a data folder; an empty one joins as a spare."""
+    """Run the replica of a data folder; an empty folder joins as a spare."""
     checker = setting.Checker()
     if not folder:
         checker.errors.append('--data: a folder is needed')
-    checked = Settings(
+    settings = Settings(
         name=checker.name('--name', name),
         data_centre=checker.name('--data-centre', data_centre),
         listen=checker.address('--listen', listen),
@@ -118,17 +118,17 @@
         policy=leader.MembershipPolicy(
             checker.number('--voters', voters, 1, 9),
             checker.number(
-                '--repair-after-ms', repair_after_ms, 1000, _LONGEST_MS
+                '--repair-after-ms', repair_after_ms, 1000, _MAX_DURATION_MS
             ),
         ),
         snapshot_entries=checker.number(
-            '--snapshot-entries', snapshot_entries, 10, _MOST_ENTRIES
+            '--snapshot-entries', snapshot_entries, 10, _MAX_ENTRIES
         ),
     )
     checker.finish()
-    journal.open_log(is_json=checked.log_format == 'json')
+    journal.open_log(is_json=settings.log_format == 'json')
     try:
-        anyio.run(serve, checked, backend='asyncio')
+        anyio.run(serve, settings, backend='asyncio')
     except* (storage.StorageError, OSError) as errors:
         for error in errors.exceptions:
             typer.echo(str(error), err=True)
@@ -136,7 +136,7 @@
 
 
 def parse_founder(checker: setting.Checker, text: str) -> message.Member:
-    """Return the member that NAME=HOST:PORT@DATA_CENTRE stands for."""
+    """Parse NAME=HOST:PORT@DATA_CENTRE; errors are added to the checker."""
     name, _, rest = text.partition('=')
     address, _, data_centre = rest.partition('@')
     return message.Member(
@@ -149,7 +149,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplicaComponents:
-    """What an extension of the replica is composed with."""
+    """The components of a replica that an extension can use."""
 
     settings: Settings
     engine: engine.Engine
@@ -159,50 +159,56 @@
 
 
 class Extension(abc.ABC):
-    """Adds interfaces of another kind to a replica."""
+    """Adds further interfaces to a replica."""
 
     @abc.abstractmethod
     async def run(self, parts: ReplicaComponents) -> None:
-        """Serve until it is cancelled."""
+        """Serve until cancelled."""
 
 
 class NoExtension(Extension):
-    """The replica as it is."""
+    """A replica without further interfaces."""
 
     async def run(self, parts: ReplicaComponents) -> None:
         """Do nothing."""
 
 
 async def serve(settings: Settings, extension: Extension | None = None) -> None:
-    """Compose the replica and run it until a signal."""
-    lines = journal.Journal(journal.Origin(settings.name, settings.data_centre))
+    """Compose the replica and run it until a signal stops it."""
+    logger = journal.Journal(
+        journal.Origin(settings.name, settings.data_centre)
+    )
     loaded = storage.load(settings.folder, settings.name)
     disk = storage.Disk(settings.folder, loaded)
-    running = engine.Engine(
+    replica_engine = engine.Engine(
         loaded,
         disk,
         node.Timing(),
-        lines,
+        logger,
         snapshot_entries=settings.snapshot_entries,
     )
     metrics = metric.Exposition(
         metric.connect(settings.statsd, f'mulberrywalk.{settings.name}')
     )
-    statuses = status.Statuses(running, cost.Meter())
-    leading = leader.Leader(running, lines, metrics, settings.policy, statuses)
+    statuses = status.Statuses(replica_engine, cost.Meter())
+    replica_leader = leader.Leader(
+        replica_engine, logger, metrics, settings.policy, statuses
+    )
     server = channel.Server(settings.listen)
     async with anyio.create_task_group() as group:
-        peers = peer.Peers(running, lines, statuses, group)
-        running.callbacks = _callbacks(peers, leading)
-        await _start_server(server, peers, leading, lines)
-        lines.record('replica running', loaded.identity.identity)
-        group.start_soon(running.run)
-        group.start_soon(leading.run)
-        group.start_soon(_join_cell, settings, running, peers, lines)
-        group.start_soon(_stop_on_signal, running, lines, group)
-        extended = extension or NoExtension()
-        parts = ReplicaComponents(settings, running, leading, lines, metrics)
-        group.start_soon(extended.run, parts)
+        peers = peer.Peers(replica_engine, logger, statuses, group)
+        replica_engine.callbacks = _create_callbacks(peers, replica_leader)
+        await _start_server(server, peers, replica_leader, logger)
+        logger.record('replica running', loaded.identity.identity)
+        group.start_soon(replica_engine.run)
+        group.start_soon(replica_leader.run)
+        group.start_soon(_join_cell, settings, replica_engine, peers, logger)
+        group.start_soon(_stop_on_signal, replica_engine, logger, group)
+        active_extension = extension or NoExtension()
+        parts = ReplicaComponents(
+            settings, replica_engine, replica_leader, logger, metrics
+        )
+        group.start_soon(active_extension.run, parts)
     await server.stop()
     disk.close()
 
@@ -210,44 +216,51 @@
 async def _start_server(
     server: channel.Server,
     peers: peer.Peers,
-    leading: leader.Leader,
-    lines: journal.Journal,
+    replica_leader: leader.Leader,
+    logger: journal.Journal,
 ) -> None:
-    streams = {channel.PEER: peers.accept, channel.LINK: leading.links.accept}
-    calls = _Calls(leading, lines)
+    streams = {
+        channel.PEER: peers.accept,
+        channel.LINK: replica_leader.links.accept,
+    }
+    unary_methods = _UnaryMethods(replica_leader, logger)
     await server.start(
         MappingProxyType(streams),
         MappingProxyType(
             {
-                channel.JOIN: calls.join,
-                channel.TIMELINE: calls.show_timeline,
+                channel.JOIN: unary_methods.join,
+                channel.TIMELINE: unary_methods.show_timeline,
             }
         ),
     )
 
 
-def _callbacks(peers: peer.Peers, leading: leader.Leader) -> engine.Callbacks:
-    def changed() -> None:
+def _create_callbacks(
+    peers: peer.Peers, replica_leader: leader.Leader
+) -> engine.Callbacks:
+    def on_changed() -> None:
         peers.close_removed()
-        leading.update_role()
+        replica_leader.update_role()
 
-    return engine.Callbacks(peers.send, leading.carry_out, changed)
+    return engine.Callbacks(peers.send, replica_leader.carry_out, on_changed)
 
 
-class _Calls:
-    """The methods that are called once and answered."""
+class _UnaryMethods:
+    """The unary methods of the server."""
 
-    def __init__(self, leading: leader.Leader, lines: journal.Journal) -> None:
-        self._leader = leading
-        self._journal = lines
+    def __init__(
+        self, replica_leader: leader.Leader, logger: journal.Journal
+    ) -> None:
+        self._leader = replica_leader
+        self._journal = logger
 
     async def join(self, encoded: bytes) -> bytes:
-        """Admit a spare."""
+        """Answer a request of a replica to join the cell."""
         request = msgspec.msgpack.decode(encoded, type=wire.JoinRequest)
         return msgspec.msgpack.encode(self._leader.join(request))
 
     async def show_timeline(self, encoded: bytes) -> bytes:
-        """Return the lines that this replica keeps."""
+        """Return the matching log lines that this replica holds."""
         request = msgspec.msgpack.decode(encoded, type=wire.TimelineRequest)
         found = self._journal.find(request.wanted)
         return msgspec.msgpack.encode(wire.TimelineReply(tuple(found)))
@@ -255,80 +268,88 @@
 
 async def _join_cell(
     settings: Settings,
-    running: engine.Engine,
+    replica_engine: engine.Engine,
     peers: peer.Peers,
-    lines: journal.Journal,
+    logger: journal.Journal,
 ) -> None:
-    """Ask to be admitted whenever no leader counts this replica in.
+    """Ask to join whenever this replica is not a member or hears no leader.
 
-    A replica that was away for long may have been replaced meanwhile: its own
-    log does not tell it.
+    A replica that was disconnected for long may have been replaced, which its
+    own log does not show.
     """
     member = message.Member(
-        running.node.identity,
+        replica_engine.node.identity,
         settings.advertise,
         settings.data_centre,
         voter=False,
     )
     encoded = msgspec.msgpack.encode(wire.JoinRequest(member))
-    asked = collections.deque(settings.replicas)
-    is_counted = False
+    addresses = collections.deque(settings.replicas)
+    was_member = False
     while True:
-        await anyio.sleep(_JOIN_S)
-        if _is_counted_in(running):
-            if not is_counted:
-                lines.record('member of the cell', running.node.identity)
-            is_counted = True
+        await anyio.sleep(_JOIN_INTERVAL_S)
+        if _is_active_member(replica_engine):
+            if not was_member:
+                logger.record(
+                    'member of the cell', replica_engine.node.identity
+                )
+            was_member = True
             continue
-        is_counted = False
-        known = (one.address for one in running.node.membership.members)
-        asked.extend(one for one in known if one not in asked)
-        address = asked[0]
-        asked.rotate(-1)
+        was_member = False
+        known = (
+            other.address for other in replica_engine.node.membership.members
+        )
+        addresses.extend(
+            candidate for candidate in known if candidate not in addresses
+        )
+        address = addresses[0]
+        addresses.rotate(-1)
         reply = await _ask_to_join(address, encoded)
         if reply.members:
             peers.learn_members(reply.members)
         if reply.leader:
-            asked.appendleft(reply.leader)
+            addresses.appendleft(reply.leader)
 
 
 async def _ask_to_join(address: str, encoded: bytes) -> wire.JoinReply:
-    """Ask a replica to be admitted; one that is silent tells nothing."""
+    """Ask a replica to admit this one; without an answer, return no leader."""
     try:
         return await channel.ask(address, channel.JOIN, encoded, wire.JoinReply)
     except ConnectionError:
         return wire.JoinReply(is_admitted=False, leader='')
 
 
-def _is_counted_in(running: engine.Engine) -> bool:
-    """Return whether this replica is a member and hears its leader."""
-    replica = running.node
-    is_member = replica.membership.find(replica.identity) is not None
-    heard_ago = replica.now - replica.heard_at
-    is_led = replica.role is node.Role.LEADER or heard_ago < _UNHEARD_MS
-    return is_member and is_led
+def _is_active_member(replica_engine: engine.Engine) -> bool:
+    """Return whether this replica is a member and leads or hears a leader."""
+    raft_node = replica_engine.node
+    is_member = raft_node.membership.find(raft_node.identity) is not None
+    silent_ms = raft_node.now - raft_node.heard_at
+    has_leader = (
+        raft_node.role is node.Role.LEADER or silent_ms < _LEADER_TIMEOUT_MS
+    )
+    return is_member and has_leader
 
 
 async def _stop_on_signal(
-    running: engine.Engine,
-    lines: journal.Journal,
+    replica_engine: engine.Engine,
+    logger: journal.Journal,
     group: TaskGroup,
 ) -> None:
-    """Hand over and stop on SIGTERM; a second signal stops at once."""
+    """Hand over and stop on SIGTERM or SIGINT; a second stops at once."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
-            lines.record('stopping')
-            group.start_soon(_hand_over, running, group)
+            logger.record('stopping')
+            group.start_soon(_hand_over, replica_engine, group)
             break
         async for _ in signals:
             group.cancel_scope.cancel()
 
 
-async def _hand_over(running: engine.Engine, group: TaskGroup) -> None:
-    with anyio.move_on_after(_HANDOVER_S):
-        running.enqueue(node.HandoverProposed())
-        while running.node.role is node.Role.LEADER:
-            await anyio.sleep(_POLL_S)
+async def _hand_over(replica_engine: engine.Engine, group: TaskGroup) -> None:
+    with anyio.move_on_after(_HANDOVER_TIMEOUT_S):
+        replica_engine.enqueue(node.HandoverProposed())
+        while replica_engine.node.role is node.Role.LEADER:
+            await anyio.sleep(_POLL_INTERVAL_S)
     group.cancel_scope.cancel()
 
 
--- a/mulberrywalk/replica/proposal.py
+++ b/mulberrywalk/replica/proposal.py
@@ -1,4 +1,4 @@
-"""Events on their way through the log, and who is told their outcomes."""
+"""Proposed events and the callbacks that receive their outcomes."""
 
 from __future__ import annotations
 
@@ -19,52 +19,52 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposal:
-    """An event as it stands in the log, and who is told its outcome."""
+    """An encoded event and the callback that receives its outcome."""
 
     encoded: msgspec.Raw
     callback: OutcomeCallback
 
 
-def ignore_outcome(told: outcome.Outcome | None) -> None:
-    """Take an outcome that nobody waits for."""
+def ignore_outcome(event_outcome: outcome.Outcome | None) -> None:
+    """Discard the outcome of an event that nobody waits for."""
 
 
 class Proposals:
-    """The events that wait for the log, and those that stand in it."""
+    """The events waiting to be proposed and those pending in the log."""
 
     def __init__(self) -> None:
-        """Start without events."""
+        """Start with no events."""
         self._waiting: list[Proposal] = []
         self._pending: dict[int, list[Proposal]] = {}
 
     def add(self, encoded: msgspec.Raw, callback: OutcomeCallback) -> None:
-        """Let an event wait for the log."""
+        """Queue an event for the next batch."""
         self._waiting.append(Proposal(encoded, callback))
 
     def count_waiting(self) -> int:
-        """Return how many events wait for the log."""
+        """Return the number of events waiting to be proposed."""
         return len(self._waiting)
 
     def take_batch(self, index: int) -> list[msgspec.Raw]:
-        """Return the next events, which are to stand in the entry of index."""
+        """Return the next events, to be stored in the log entry at index."""
         batch = self._waiting[:MAX_BATCH_EVENTS]
         self._waiting = self._waiting[MAX_BATCH_EVENTS:]
         self._pending[index] = batch
         return [proposal.encoded for proposal in batch]
 
     def resolve(self, index: int, outcomes: Iterable[outcome.Outcome]) -> None:
-        """Tell the outcomes of an entry that was applied.
+        """Pass the outcomes of an applied entry to the callbacks.
 
-        The entry may hold more events than were proposed.
+        The entry may contain further events, after the proposed ones.
         """
-        settled = self._pending.pop(index, [])
-        for proposal, told in zip(settled, outcomes, strict=False):
-            proposal.callback(told)
+        resolved = self._pending.pop(index, [])
+        for proposal, event_outcome in zip(resolved, outcomes, strict=False):
+            proposal.callback(event_outcome)
 
     def abandon_all(self) -> None:
-        """Tell that nobody knows what becomes of all that was proposed.
+        """Report an unknown outcome for every waiting and pending event.
 
-        Another leader may yet commit it.
+        Another leader may still commit the pending ones.
         """
         pending = itertools.chain.from_iterable(self._pending.values())
         abandoned = [*pending, *self._waiting]
--- a/mulberrywalk/replica/registry.py
+++ b/mulberrywalk/replica/registry.py
@@ -1,7 +1,7 @@
-"""Targets that are called, as they announce themselves to the leader.
+"""Registration of called targets by their heartbeats to the leader.
 
-An announcement that changes nothing is acknowledged at once; one that does
-is acknowledged when its event is committed.
+A heartbeat that changes nothing is acknowledged at once; one that changes the
+state is acknowledged when its event is committed.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from ..core import event, identity, outcome
 from . import engine
 
-# How long after it took its leave a target may still run something.
+# How long after its deregistration a target may still run something.
 _DEREGISTER_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TargetHeartbeat:
-    """One announcement; sequence counts those of the target's life.
+    """One announcement of a target.
 
-    remaining_ms is for how long a leaving target stays at least.
+    sequence numbers the heartbeats of one incarnation of the target;
+    remaining_ms is the minimum time that a leaving target stays.
     """
 
     announcement: event.Announcement
@@ -31,26 +32,29 @@
 
 
 class Registry:
-    """Turns announcements into sessions and departures."""
+    """Opens and ends the sessions of called targets."""
 
-    def __init__(self, running: engine.Engine) -> None:
-        """Start without having heard of any target."""
-        self._engine = running
-        # The life and the sequence of the newest announcement of each target.
+    def __init__(self, replica_engine: engine.Engine) -> None:
+        """Start with no heartbeats received."""
+        self._engine = replica_engine
+        # The incarnation and sequence number of the newest heartbeat of each
+        # target.
         self._latest: dict[identity.TargetId, tuple[int, int]] = {}
 
     def reset(self) -> None:
-        """Forget what was heard under an earlier leader."""
+        """Forget the heartbeats received during an earlier term."""
         self._latest.clear()
 
     async def process_heartbeat(
         self, heartbeat: TargetHeartbeat
     ) -> outcome.Outcome | None:
-        """Return the outcome, or None when it is open who leads.
+        """Record a heartbeat and return the outcome.
 
-        One that is foreign is acknowledged and changes nothing.
+        Returns None when this replica cannot tell whether the event was
+        committed. A heartbeat with an unknown pool, or one older than the
+        newest of its target, is acknowledged and changes nothing.
         """
-        if self.has_unknown_pool(heartbeat) or self._is_late(heartbeat):
+        if self.has_unknown_pool(heartbeat) or self._is_outdated(heartbeat):
             return outcome.Recorded()
         announcement = heartbeat.announcement
         record = self._engine.tables.targets.get(announcement.target)
@@ -70,30 +74,33 @@
         )
 
     def has_unknown_pool(self, heartbeat: TargetHeartbeat) -> bool:
-        """Return whether a life that is not known names no known pool.
+        """Return whether a new incarnation names an unknown pool.
 
-        It is of another writer, or of a pool that is yet to be configured, and
-        will be announced again then. Jobs may need a pool that is configured
-        no more.
+        Such a heartbeat is from a foreign sender, or its pool is not
+        configured yet; the target then sends another one later. A pool that is
+        no longer configured is known while jobs need it, and every pool is
+        known while none is configured.
         """
         tables = self._engine.tables
         routing = tables.configuration.routing
         pool = heartbeat.announcement.pool
-        named = {one.name for one in routing.pools}
-        if not named or pool in named:
+        pool_names = {terms.name for terms in routing.pools}
+        if not pool_names or pool in pool_names:
             return False
         if self._find_session(heartbeat.announcement) is not None:
             return False
-        specifications = (one.specification for one in tables.jobs.values())
-        return all(one.pool != pool for one in specifications)
+        specifications = (
+            record.specification for record in tables.jobs.values()
+        )
+        return all(needed.pool != pool for needed in specifications)
 
     async def deregister(
         self, target: identity.TargetId
     ) -> outcome.Outcome | None:
-        """End the session of a target that was leaving and is gone now.
+        """End the session of a target that was leaving and has now gone.
 
-        One that had not announced its leave may be a late call of an
-        earlier life, and proves nothing.
+        Nothing changes for a target that is not leaving: the call may be a
+        delayed one of an earlier incarnation.
         """
         record = self._engine.tables.targets.get(target)
         if record is None or not record.is_leaving or record.session is None:
@@ -107,18 +114,22 @@
     def _find_session(
         self, announcement: event.Announcement
     ) -> identity.SessionId | None:
-        """Return the session of the life that announces itself, or None."""
+        """Return the session of the announced incarnation, or None."""
         tables = self._engine.tables
         record = tables.targets.get(announcement.target)
         if record is None or record.session is None:
             return None
-        known = tables.sessions[record.session]
-        return record.session if known.nonce == announcement.nonce else None
+        current_session = tables.sessions[record.session]
+        return (
+            record.session
+            if current_session.nonce == announcement.nonce
+            else None
+        )
 
-    def _is_late(self, heartbeat: TargetHeartbeat) -> bool:
+    def _is_outdated(self, heartbeat: TargetHeartbeat) -> bool:
         announcement = heartbeat.announcement
-        stamp = (announcement.born_at, heartbeat.sequence)
-        if stamp < self._latest.get(announcement.target, stamp):
+        version = (announcement.born_at, heartbeat.sequence)
+        if version < self._latest.get(announcement.target, version):
             return True
-        self._latest[announcement.target] = stamp
+        self._latest[announcement.target] = version
         return False
--- a/mulberrywalk/replica/request.py
+++ b/mulberrywalk/replica/request.py
@@ -1,4 +1,4 @@
-"""The requests of entries, as the leader answers them."""
+"""Answers of the leader to requests from entries."""
 
 from __future__ import annotations
 
@@ -13,46 +13,46 @@
 from ..transport import codec, wire
 from . import engine, lease, link, status, view
 
-_BACKLOG_LIMIT = 4000
+_MAX_BACKLOG = 4000
 _RETRY_AFTER_MS = 1000
 
 Waiter = tuple[link.Link, int]
 
 
 class Requests:
-    """Answers reads from the state and proposes the rest as events."""
+    """Answers reads from the state and proposes writes as events."""
 
     def __init__(
         self,
-        running: engine.Engine,
+        replica_engine: engine.Engine,
         links: link.Links,
         leases: lease.Leases,
         metrics: metric.Metrics,
         statuses: status.Statuses,
     ) -> None:
-        """Start without callers that wait."""
+        """Start with no waiting callers."""
         self._statuses = statuses
-        self._engine = running
+        self._engine = replica_engine
         self._links = links
         self._leases = leases
         self._metrics = metrics
         self._waiters: dict[identity.JobId, list[Waiter]] = {}
 
     def serve(self, origin: link.Link, call: wire.Call) -> None:
-        """Answer a call, now or when its event is committed."""
+        """Answer a call, at once or when its event is committed."""
         answer = _ANSWERS[type(call.request)]
         answer(self, origin, call.ticket, call.request)
 
     def answer_job_waiters(self, job: identity.JobId) -> None:
-        """Answer those that wait for the end of a job."""
+        """Answer the calls that wait for the end of a job."""
         for origin, ticket in self._waiters.pop(job, []):
             self.answer_job(origin, ticket, wire.GetJob(job))
 
     def submit(
         self, origin: link.Link, ticket: int, request: wire.Submit
     ) -> None:
-        """Propose a job, or refuse it at once under overload."""
-        if self._engine.backlog() > _BACKLOG_LIMIT:
+        """Propose a job, or refuse it when too many events are waiting."""
+        if self._engine.backlog() > _MAX_BACKLOG:
             self._metrics.incr('refused_overload')
             refusal = outcome.Unavailable(
                 outcome.RefusalReason.OVERLOADED,
@@ -74,8 +74,8 @@
         self, origin: link.Link, ticket: int, request: wire.Cancel
     ) -> None:
         """Propose the cancellation of a job."""
-        occurred = event.JobCancelled(self._engine.time(), request.job)
-        self._propose(origin, ticket, occurred)
+        new_event = event.JobCancelled(self._engine.time(), request.job)
+        self._propose(origin, ticket, new_event)
 
     def patch(
         self,
@@ -98,18 +98,19 @@
     def open_session(
         self, origin: link.Link, ticket: int, request: wire.OpenSession
     ) -> None:
-        """Propose the session of a target that has announced itself."""
-        occurred = event.SessionOpened(
+        """Propose the session of a target that connected to an entry."""
+        new_event = event.SessionOpened(
             self._engine.time(), request.announcement
         )
         self._engine.propose(
-            occurred, lambda told: self._grant(origin, ticket, told)
+            new_event,
+            lambda event_outcome: self._grant(origin, ticket, event_outcome),
         )
 
     def answer_job(
         self, origin: link.Link, ticket: int, request: wire.GetJob
     ) -> None:
-        """Answer with a job, at its end when that is waited for."""
+        """Answer with a job, after its end if the request waits for it."""
         record = self._engine.tables.jobs.get(request.job)
         if record is None:
             _reply_not_found(origin, ticket, request.job)
@@ -123,7 +124,7 @@
     def answer_job_state(
         self, origin: link.Link, ticket: int, request: wire.GetState
     ) -> None:
-        """Answer with the state of a job alone."""
+        """Answer with only the state of a job."""
         record = self._engine.tables.jobs.get(request.job)
         if record is None:
             _reply_not_found(origin, ticket, request.job)
@@ -134,14 +135,14 @@
     def count_pending(
         self, origin: link.Link, ticket: int, request: wire.CountPending
     ) -> None:
-        """Answer with how many jobs of a queue have not begun."""
+        """Answer with the number of jobs of a queue that have not started."""
         count = self._engine.tables.pending[request.queue]
         _reply(origin, ticket, {codec.TAG: 'pending', 'count': count})
 
     def explain(
         self, origin: link.Link, ticket: int, request: wire.Explain
     ) -> None:
-        """Answer why a job waits or where it ran."""
+        """Answer with the reason why a job waits, or where it ran."""
         record = self._engine.tables.jobs.get(request.job)
         if record is None:
             _reply_not_found(origin, ticket, request.job)
@@ -155,23 +156,28 @@
         ticket: int,
         request: wire.GetConfiguration,
     ) -> None:
-        """Answer with the configuration and each process's version."""
+        """Answer with the configuration and the version of each process."""
         current = self._engine.tables.configuration
         shown = view.show_configuration(current)
-        reach = {one.process: one.version for one in self._links.open.values()}
+        versions = {
+            entry.process: entry.version for entry in self._links.open.values()
+        }
         members = self._engine.node.membership.members
-        told = ((one, self._statuses.find(one.identity)) for one in members)
-        reach.update(
+        statuses = (
+            (replica, self._statuses.find(replica.identity))
+            for replica in members
+        )
+        versions.update(
             {
                 member.identity: applied.version
-                for member, applied in told
+                for member, applied in statuses
                 if applied is not None
             }
         )
         _reply(
             origin,
             ticket,
-            {codec.TAG: 'configuration', **shown, 'reach': reach},
+            {codec.TAG: 'configuration', **shown, 'reach': versions},
         )
 
     def answer_members(
@@ -181,11 +187,11 @@
         shown = view.show_members(self._engine.node, self._statuses)
         entries = [
             {
-                'process': one.process,
-                'data_centre': one.data_centre,
-                'cost': msgspec.to_builtins(one.cost),
+                'process': entry.process,
+                'data_centre': entry.data_centre,
+                'cost': msgspec.to_builtins(entry.cost),
             }
-            for _, one in sorted(self._links.open.items())
+            for _, entry in sorted(self._links.open.items())
         ]
         _reply(
             origin, ticket, {codec.TAG: 'members', **shown, 'entries': entries}
@@ -201,7 +207,7 @@
     def drain_target(
         self, origin: link.Link, ticket: int, request: wire.DrainTarget
     ) -> None:
-        """Propose the departure of a target that an operator has named."""
+        """Propose the departure of a target on behalf of an operator."""
         record = self._engine.tables.targets.get(request.target)
         if record is None or record.session is None:
             refusal = outcome.NotRun(
@@ -210,22 +216,28 @@
             )
             _reply_outcome(origin, ticket, refusal)
             return
-        occurred = event.DepartureAnnounced(self._engine.time(), record.session)
-        self._propose(origin, ticket, occurred)
+        new_event = event.DepartureAnnounced(
+            self._engine.time(), record.session
+        )
+        self._propose(origin, ticket, new_event)
 
     def _grant(
-        self, origin: link.Link, ticket: int, told: outcome.Outcome | None
+        self,
+        origin: link.Link,
+        ticket: int,
+        event_outcome: outcome.Outcome | None,
     ) -> None:
-        if isinstance(told, outcome.SessionGranted):
+        if isinstance(event_outcome, outcome.SessionGranted):
             now = clock.monotonic_ms()
-            self._leases.renew(told.session, origin.process, now)
-        _reply_outcome(origin, ticket, told)
+            self._leases.renew(event_outcome.session, origin.process, now)
+        _reply_outcome(origin, ticket, event_outcome)
 
     def _propose(
-        self, origin: link.Link, ticket: int, occurred: event.Event
+        self, origin: link.Link, ticket: int, new_event: event.Event
     ) -> None:
         self._engine.propose(
-            occurred, lambda told: _reply_outcome(origin, ticket, told)
+            new_event,
+            lambda event_outcome: _reply_outcome(origin, ticket, event_outcome),
         )
 
 
@@ -252,12 +264,12 @@
 
 
 def _reply_outcome(
-    origin: link.Link, ticket: int, told: outcome.Outcome | None
+    origin: link.Link, ticket: int, event_outcome: outcome.Outcome | None
 ) -> None:
-    # Nothing is said when the outcome is open: the entry asks the next
-    # leader again under the same request id.
-    if told is not None:
-        _reply(origin, ticket, codec.to_builtins(told))
+    # No reply is sent when the outcome is unknown: the entry repeats the call
+    # at the next leader with the same request id.
+    if event_outcome is not None:
+        _reply(origin, ticket, codec.to_builtins(event_outcome))
 
 
 def _reply_not_found(
--- a/mulberrywalk/replica/state_machine.py
+++ b/mulberrywalk/replica/state_machine.py
@@ -1,7 +1,8 @@
-"""The replicated state of one replica, and the entries it has yet to apply.
+"""The replicated state of one replica and its unapplied log entries.
 
-A replica that starts, or that was away, has to apply thousands of entries.
-They are applied in slices, so that it goes on hearing and being heard.
+A replica that starts or reconnects may have thousands of entries to apply.
+They are applied one at a time, so that the engine can exchange messages in
+between.
 """
 
 from __future__ import annotations
@@ -21,21 +22,22 @@
 _encoder = msgspec.msgpack.Encoder()
 
 
-def encode_event(occurred: event.Event) -> msgspec.Raw:
-    """Return an event as it stands in the log.
+def encode_event(new_event: event.Event) -> msgspec.Raw:
+    """Return the encoding of an event in the log.
 
-    Raises UnreadableError when the log cannot hold it, or when no replica
-    could read it there: it would end each of them, at each start again.
+    Raises UnreadableError when the event cannot be encoded, or when its
+    encoding cannot be decoded: such an entry would crash every replica each
+    time that it starts.
     """
     with reading.refused_as():
-        written = _encoder.encode(occurred)
-        _event_decoder.decode(written)
-    return msgspec.Raw(written)
+        encoded = _encoder.encode(new_event)
+        _event_decoder.decode(encoded)
+    return msgspec.Raw(encoded)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppliedEntry:
-    """An entry that was applied, and the effects of each of its events."""
+    """An applied entry and the effects of each of its events."""
 
     entry: message.LogEntry
     effects: list[list[effect.Effect]]
@@ -46,45 +48,47 @@
 
 
 class StateMachine:
-    """Applies committed entries in order."""
+    """Applies committed log entries in order."""
 
     def __init__(
         self,
-        held: message.Snapshot | None,
+        loaded: message.Snapshot | None,
         committed: Iterable[message.LogEntry],
     ) -> None:
-        """Start from a snapshot; committed are the known entries behind it."""
+        """Start from a snapshot and the committed entries that follow it."""
         self.tables = state.State()
         self.applied_index = 0
         self._committed = collections.deque(committed)
-        if held is not None:
-            self.install(held)
+        if loaded is not None:
+            self.install(loaded)
 
     def enqueue(self, entry: message.LogEntry) -> None:
-        """Keep a committed entry to be applied."""
+        """Queue a committed entry to be applied."""
         self._committed.append(entry)
 
     def install(self, received: message.Snapshot) -> None:
-        """Replace the state; the entries that it covers are passed over."""
+        """Replace the state and skip the queued entries that it includes."""
         self.tables = snapshot.decode(received.payload)
         self.applied_index = received.index
-        self._pass_over()
+        self._skip_applied()
 
     def has_pending(self) -> bool:
-        """Return whether entries wait to be applied."""
+        """Return whether committed entries are waiting to be applied."""
         return bool(self._committed)
 
     def apply_next(self) -> AppliedEntry:
-        """Apply the first entry that waits."""
+        """Apply the first waiting entry."""
         entry = self._committed.popleft()
         self.applied_index = entry.index
         events: list[event.Event] = []
         if entry.kind is message.EntryKind.COMMAND:
             events = _events_decoder.decode(entry.payload)
-        effects = [reducer.reduce(self.tables, one)[1] for one in events]
+        effects = [
+            reducer.reduce(self.tables, new_event)[1] for new_event in events
+        ]
         return AppliedEntry(entry, effects)
 
-    def _pass_over(self) -> None:
+    def _skip_applied(self) -> None:
         waiting = self._committed
         while waiting and waiting[0].index <= self.applied_index:
             waiting.popleft()
@@ -93,5 +97,5 @@
 def _outcome_of(effects: list[effect.Effect]) -> outcome.Outcome:
     first = effects[0]
     if not isinstance(first, effect.Answer):
-        raise TypeError('the first effect of an event is its answer')
+        raise TypeError('the first effect of an event must be its answer')
     return first.outcome
--- a/mulberrywalk/replica/status.py
+++ b/mulberrywalk/replica/status.py
@@ -1,4 +1,4 @@
-"""What the replicas have applied and consume, as this one was told."""
+"""The configuration versions and resource costs of the replicas."""
 
 from __future__ import annotations
 
@@ -9,13 +9,15 @@
 
 
 class Statuses:
-    """The status of this replica and the latest of each other one."""
+    """The status of this replica and the latest reported by each other."""
 
-    def __init__(self, running: engine.Engine, meter: cost.Meter) -> None:
-        """Start without knowing of others."""
+    def __init__(
+        self, replica_engine: engine.Engine, meter: cost.Meter
+    ) -> None:
+        """Start with no status of other replicas."""
         self.meter = meter
-        self._engine = running
-        self._told: dict[message.ReplicaId, wire.Status] = {}
+        self._engine = replica_engine
+        self._reported: dict[message.ReplicaId, wire.Status] = {}
 
     def own(self) -> wire.Status:
         """Return the status of this replica."""
@@ -26,13 +28,13 @@
         """Return a replica's status, or None while it is not connected."""
         if replica == self._engine.node.identity:
             return self.own()
-        return self._told.get(replica)
+        return self._reported.get(replica)
 
     def update(
         self, replica: message.ReplicaId, status: wire.Status | None
     ) -> None:
-        """Keep what a replica tells; None when its connection is gone."""
+        """Store the status of a replica; None when its connection closed."""
         if status is None:
-            self._told.pop(replica, None)
+            self._reported.pop(replica, None)
         else:
-            self._told[replica] = status
+            self._reported[replica] = status
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -1,4 +1,4 @@
-"""Answers to questions about the state, as plain data for JSON."""
+"""Views of the state as plain data for JSON."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def show_job(tables: state.State, record: job.Job) -> dict[str, Any]:
-    """Return a job with its tasks; a whole answer once it has ended."""
+    """Return a job with its tasks, complete once the job has ended."""
     tasks = lifecycle.tasks_of(tables, record)
     return {
         'job': record.job,
@@ -42,7 +42,11 @@
 
 
 def reported_state(record: job.Job) -> job.JobState:
-    """Return the state of a job, final as soon as it is decided."""
+    """Return the state of a job.
+
+    Failure and cancellation are reported as soon as they are decided, even
+    while tasks are unfinished.
+    """
     if record.unfinished and record.is_abandoned:
         return job.JobState.FAILED
     if record.unfinished and record.is_cancelled:
@@ -70,11 +74,13 @@
 
 
 def explain_queue_heads(tables: state.State) -> list[tuple[str, str]]:
-    """Return the first waiting step of each queue, and what it lacks."""
-    heads = (queue[0].task for queue in tables.waiting.queues.values() if queue)
+    """Return the first waiting step of each queue and why it waits."""
+    first_tasks = (
+        queue[0].task for queue in tables.waiting.queues.values() if queue
+    )
     return [
         (name, _explain_step(tables, tables.steps[identity.StepId(name)]))
-        for name in heads
+        for name in first_tasks
         if name in tables.steps
     ]
 
@@ -82,12 +88,14 @@
 def _explain_step(tables: state.State, step: job.Step) -> str:
     demand = tables.step_specification(step).demand()
     loads = tables.fleet.loads.values()
-    with_room = [load for load in loads if resource.fits(demand, load.free)]
+    loads_with_room = [
+        load for load in loads if resource.fits(demand, load.free)
+    ]
     counts = {
         'waiting': len(tables.waiting.steps.get(step.step, ())),
         'targets': len(tables.fleet.loads),
         'available': sum(load.is_available() for load in loads),
-        'with_room': len(with_room),
+        'with_room': len(loads_with_room),
         'barred': len(step.barred),
         'tickets': len(step.tickets),
         'valid': len(advice.find_valid(tables, step)),
@@ -98,7 +106,7 @@
 
 
 def show_targets(tables: state.State) -> list[dict[str, Any]]:
-    """Return all targets with what is free and how they are doing."""
+    """Return all targets with their free resources and health."""
     return [
         {
             'target': record.target,
@@ -146,7 +154,7 @@
         'reason': _waiting_reason(tables, task),
         'since': task.waiting_since,
         'not_before': task.not_before,
-        'limiting': _limiting(tables, task, demand),
+        'limiting': _limiting_resources(tables, task, demand),
         'targets': len(tables.fleet.loads),
         'ruled_out': ruled_out,
     }
@@ -167,10 +175,10 @@
     return 'no target has enough free'
 
 
-def _limiting(
+def _limiting_resources(
     tables: state.State, task: job.Task, demand: resource.Resources
 ) -> list[str]:
-    """Return the resources that most targets lack."""
+    """Return the resources that targets lack, the most frequent first."""
     is_aside = task.task in tables.waiting.aside
     amounts = [
         load.capacity if is_aside else load.free
@@ -187,16 +195,16 @@
 def _count_ruled_out(
     tables: state.State, demand: resource.Resources
 ) -> dict[str, int]:
-    """Return how many targets each condition rules out."""
+    """Return the number of targets that each condition rules out."""
     conditions = collections.Counter(
         condition
         for load in tables.fleet.loads.values()
-        for condition in _conditions(tables, load, demand)
+        for condition in _exclusion_conditions(tables, load, demand)
     )
     return dict(sorted(conditions.items()))
 
 
-def _conditions(
+def _exclusion_conditions(
     tables: state.State, load: fleet.TargetLoad, demand: resource.Resources
 ) -> list[str]:
     record = tables.targets[identity.TargetId(load.target)]
@@ -219,50 +227,50 @@
 def show_configuration(
     current: configuration.Configuration,
 ) -> dict[str, Any]:
-    """Return a configuration with its version."""
+    """Return a configuration, its version included."""
     shown: dict[str, Any] = msgspec.to_builtins(current)
     return shown
 
 
 def show_members(
-    running: node.Node,
+    raft_node: node.Node,
     statuses: status.Statuses,
 ) -> dict[str, Any]:
-    """Return the replicas as the leader sees them.
+    """Return the replicas as seen by the leader.
 
-    The cost is missing for a replica that has not told it lately.
+    The cost is None for a replica that is not connected.
     """
     return {
-        'leader': running.leader,
-        'term': running.term,
-        'commit_index': running.commit_index,
+        'leader': raft_node.leader,
+        'term': raft_node.term,
+        'commit_index': raft_node.commit_index,
         'replicas': [
             {
                 'identity': member.identity,
                 'address': member.address,
                 'data_centre': member.data_centre,
                 'voter': member.voter,
-                'match_index': _match_index(running, member),
-                'silent_ms': _silent_ms(running, member),
+                'match_index': _match_index(raft_node, member),
+                'silent_ms': _silent_ms(raft_node, member),
                 'cost': _cost(statuses.find(member.identity)),
             }
-            for member in running.membership.members
+            for member in raft_node.membership.members
         ],
     }
 
 
-def _cost(told: wire.Status | None) -> dict[str, Any] | None:
-    if told is None:
+def _cost(replica_status: wire.Status | None) -> dict[str, Any] | None:
+    if replica_status is None:
         return None
-    shown: dict[str, Any] = msgspec.to_builtins(told.cost)
+    shown: dict[str, Any] = msgspec.to_builtins(replica_status.cost)
     return shown
 
 
-def _match_index(running: node.Node, member: message.Member) -> int:
-    progress = running.progress.get(member.identity)
-    return progress.match_index if progress else running.synced_index
+def _match_index(raft_node: node.Node, member: message.Member) -> int:
+    progress = raft_node.progress.get(member.identity)
+    return progress.match_index if progress else raft_node.synced_index
 
 
-def _silent_ms(running: node.Node, member: message.Member) -> int:
-    progress = running.progress.get(member.identity)
-    return running.now - progress.acknowledged_at if progress else 0
+def _silent_ms(raft_node: node.Node, member: message.Member) -> int:
+    progress = raft_node.progress.get(member.identity)
+    return raft_node.now - progress.acknowledged_at if progress else 0
