--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -55,11 +55,11 @@
     record = _create_job(tables, submitted)
     tables.jobs[record.job] = record
     tables.requests[request] = record.job
-    lifecycle.count_pending(tables, record, 1)
+    lifecycle.adjust_pending(tables, record, 1)
     if specification.kind is job.Kind.WORKFLOW:
-        workflow.begin(tables, record)
+        workflow.schedule_first_occurrence(tables, record)
     for number, _ in enumerate(specification.tasks):
-        queueing.wait(tables, _create_task(record, number))
+        queueing.add_task(tables, _create_task(record, number))
     tables.emit(
         effect.Trace(
             'accepted', job=record.job, detail=specification.request_id
@@ -81,12 +81,12 @@
         record = msgspec.structs.replace(record, is_cancelled=True)
         tables.jobs[record.job] = record
         for task in lifecycle.tasks_of(tables, record):
-            lifecycle.call_off(tables, task, job.StopReason.CANCELLED)
+            lifecycle.cancel_task(tables, task, job.StopReason.CANCELLED)
         workflow.drop_occurrences(tables, record.job)
     return outcome.Cancelled(record.job, tables.jobs[record.job].state)
 
 
-def forget_finished(tables: state.State) -> None:
+def prune_finished(tables: state.State) -> None:
     """Drop finished jobs past their retention, or above the bound."""
     document = tables.configuration.document
     oldest_kept = tables.time - document.finished_retention_ms
@@ -188,8 +188,8 @@
     submitted: event.JobSubmitted,
     refusal: outcome.NotRun,
 ) -> outcome.Outcome:
-    forget_refusals(tables)
-    if len(tables.refusals) >= state.REFUSALS_KEPT:
+    prune_refusals(tables)
+    if len(tables.refusals) >= state.MAX_REFUSAL_RECORDS:
         # It cannot be remembered, so a late copy might run after all.
         return outcome.Unavailable(
             refusal.reason, refusal.detail, _RETRY_AFTER_MS
@@ -202,9 +202,9 @@
     return refusal
 
 
-def forget_refusals(tables: state.State) -> None:
+def prune_refusals(tables: state.State) -> None:
     """Drop the refusals that no copy can be late for any more."""
-    oldest_kept = tables.time - state.REFUSAL_KEPT_MS
+    oldest_kept = tables.time - state.REFUSAL_RETENTION_MS
     while tables.refusals:
         request = next(iter(tables.refusals))
         if tables.refusals[request].at >= oldest_kept:
--- a/mulberrywalk/core/foresight.py
+++ b/mulberrywalk/core/advice_prefetch.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from . import advice, identity, staging, state, target
+from . import advice, identity, state, step_placement, target
 
 # For the way of the question and of the answer through the log.
 _WAY_MS = 300
@@ -18,7 +18,7 @@
     return bool(tables.silent)
 
 
-def review(tables: state.State) -> None:
+def prefetch(tables: state.State) -> None:
     """Ask for the steps whose tasks will have to run again soon."""
     for name in sorted(tables.silent):
         session = tables.targets[name].session
@@ -28,22 +28,22 @@
 
 def _prepare(tables: state.State, session: identity.SessionId) -> None:
     over_at = _ends_at(tables, session)
-    attempts = sorted(tables.by_session.get(session, ()))
+    attempts = sorted(tables.attempts_by_session.get(session, ()))
     steps = dict.fromkeys(
         tables.tasks[tables.attempts[name].task].step_id() for name in attempts
     )
     for name in steps:
         if name in tables.steps and _is_wanted(tables, name, over_at):
-            usable = staging.find_usable(tables, name)
-            advice.ask(tables, tables.steps[name], usable)
+            usable = step_placement.find_eligible_targets(tables, name)
+            advice.request_advice(tables, tables.steps[name], usable)
 
 
 def _ends_at(tables: state.State, session: identity.SessionId) -> int:
     """Return when the lease of a silent target is known to have run out."""
     known = tables.sessions[session]
     silence = tables.targets[known.target].silence
-    heard_at = silence.heard_at() if silence else tables.time
-    return heard_at + known.lease_ms + target.MARGIN_MS
+    heard_at = silence.last_heard_at() if silence else tables.time
+    return heard_at + known.lease_ms + target.LEASE_MARGIN_MS
 
 
 def _is_wanted(
@@ -53,5 +53,7 @@
     terms = tables.jobs[step.job].specification.advice
     if terms is None or not tables.step_specification(step).is_lasting:
         return False
-    asked_from = over_at - advice.longest_ms(terms) - _WAY_MS
-    return tables.time >= asked_from and not advice.find_valid(tables, step)
+    asked_from = over_at - advice.max_answer_ms(terms) - _WAY_MS
+    return tables.time >= asked_from and not advice.find_valid_tickets(
+        tables, step
+    )
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -77,14 +77,14 @@
     if identifier is None or identifier not in tables.sessions:
         return
     session = tables.sessions[identifier]
-    for attempt in sorted(tables.by_session.get(identifier, ())):
-        lifecycle.end(
+    for attempt in sorted(tables.attempts_by_session.get(identifier, ())):
+        lifecycle.record_end(
             tables,
             event.AttemptEnd(attempt, job.EndReason.SESSION_LOST, tables.time),
         )
     tables.sessions.pop(identifier)
     tables.session_counts[session.target] -= 1
-    tables.by_session.pop(identifier, None)
+    tables.attempts_by_session.pop(identifier, None)
     tables.emit(effect.EndSession(identifier))
     tables.emit(
         effect.Trace('session ended', target=session.target, detail=identifier)
@@ -92,7 +92,7 @@
     _close_target(tables, session)
 
 
-def depart(
+def drain(
     tables: state.State,
     identifier: identity.SessionId,
     remaining_ms: int | None = None,
@@ -109,9 +109,9 @@
         tables.targets[record.target] = msgspec.structs.replace(
             record, is_leaving=True
         )
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
         tables.emit(effect.Trace('leaving', target=record.target))
-    for name in sorted(tables.by_session.get(identifier, ())):
+    for name in sorted(tables.attempts_by_session.get(identifier, ())):
         attempt = tables.attempts[name]
         if not attempt.started_at:
             lifecycle.stop(tables, attempt, job.StopReason.RECALLED)
@@ -120,7 +120,7 @@
     return outcome.Recorded()
 
 
-def note_silence(
+def record_silence(
     tables: state.State, identifier: identity.SessionId, quiet_ms: int
 ) -> outcome.Outcome:
     """Place nothing on a target that is silent, until it is heard again."""
@@ -133,14 +133,14 @@
         tables.targets[record.target] = msgspec.structs.replace(
             record, silence=silence, silence_changed_at=tables.time
         )
-        health.distrust(tables, record.target)
-        health.refresh(tables, record.target)
+        health.mark_unsteady(tables, record.target)
+        health.refresh_index(tables, record.target)
         told = f'silent for {quiet_ms} ms' if quiet_ms else 'heard again'
         tables.emit(effect.Trace(told, target=record.target))
     return outcome.Recorded()
 
 
-def report(
+def record_report(
     tables: state.State, received: event.ReportReceived
 ) -> outcome.Outcome:
     """Record starts and ends that a target reports for its session.
@@ -150,9 +150,9 @@
     """
     if received.session not in tables.sessions:
         return _gone(received.session)
-    _record_each(tables, received, received.started, lifecycle.start)
-    _record_each(tables, received, received.saved, lifecycle.save)
-    _record_each(tables, received, received.ended, lifecycle.end)
+    _record_each(tables, received, received.started, lifecycle.record_start)
+    _record_each(tables, received, received.saved, lifecycle.record_checkpoint)
+    _record_each(tables, received, received.ended, lifecycle.record_end)
     if received.ended:
         names = tuple(one.attempt for one in received.ended)
         tables.emit(effect.AcknowledgeEnds(received.session, names))
@@ -222,12 +222,12 @@
         tables.addresses[record.address] = record.target
     kinds = set(tables.fleet.capacities)
     tables.targets[record.target] = record
-    install_load(tables, record)
+    index_target(tables, record)
     if set(tables.fleet.capacities) != kinds:
         _review_waiting(tables)
 
 
-def install_load(tables: state.State, record: target.Target) -> None:
+def index_target(tables: state.State, record: target.Target) -> None:
     """Enter a target into the index, with what its attempts hold."""
     old = tables.fleet.loads.get(record.target)
     attempts = old.attempts if old else set()
@@ -248,7 +248,7 @@
             labels=frozenset(record.labels),
         )
     )
-    health.refresh(tables, record.target)
+    health.refresh_index(tables, record.target)
 
 
 def _is_superseded(
@@ -282,7 +282,7 @@
     known = tables.targets.get(name)
     if known is None or known.silence is None:
         return tables.time
-    return known.silence.heard_at()
+    return known.silence.last_heard_at()
 
 
 def _carry_over(
@@ -302,7 +302,7 @@
         if one.target == session.target and one.session != session.session
     ]
     for name in earlier:
-        for attempt in sorted(tables.by_session.get(name, ())):
+        for attempt in sorted(tables.attempts_by_session.get(name, ())):
             _move(tables, tables.attempts[attempt], session.session, heard_at)
         end_session(tables, name)
 
@@ -324,7 +324,7 @@
     )
     state.remove_attempt(tables, attempt)
     state.add_attempt(tables, moved)
-    state.note_absence(tables, tables.tasks[moved.task])
+    state.mark_absent(tables, tables.tasks[moved.task])
     tables.emit(effect.StopAttempt(moved))
 
 
@@ -340,11 +340,11 @@
         for position in queue
         if position.task not in tables.steps
     ]
-    for name in sorted((*queued, *tables.waiting.aside)):
+    for name in sorted((*queued, *tables.waiting.infeasible)):
         task = tables.tasks[name]
         key = queueing.key_of(tables, task)
         tables.waiting.discard(key, queueing.position_of(task))
-        tables.waiting.aside.pop(name, None)
+        tables.waiting.infeasible.pop(name, None)
         queueing.enqueue(tables, task)
 
 
@@ -355,7 +355,7 @@
             record, session=None, is_leaving=False, silence=None
         )
         tables.targets[record.target] = record
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
     # Earlier sessions of the target may still hold capacity.
     if not tables.session_counts[record.target]:
         tables.session_counts.pop(record.target)
--- a/mulberrywalk/replica/absence_monitor.py
+++ b/mulberrywalk/replica/absence_monitor.py
@@ -33,7 +33,9 @@
     def report(self) -> None:
         """Log the longest current absences and update the gauges."""
         now = self._engine.time()
-        found = absence.find(self._engine.tables, now, absence.NOTED_MS)
+        found = absence.find_absences(
+            self._engine.tables, now, absence.REPORT_AFTER_MS
+        )
         self._update_gauges(found, now)
         for rank, absent in enumerate(found[:_MAX_LINES], start=1):
             detail = _describe(absent, now)
@@ -68,16 +70,16 @@
     fields: dict[str, int | str] = {
         'ms': now - absent.since,
         'stage_ms': now - absent.stage_since,
-        'runs': absent.runs,
-        'unstarted': absent.unstarted,
-        'room': absent.room,
+        'runs': absent.attempt_count,
+        'unstarted': absent.unstarted_count,
+        'room': absent.free_slots,
     }
-    last = absent.last
+    last = absent.last_ended
     if last is not None:
-        started = 'yes' if absence.has_run(last) else 'never'
+        started = 'yes' if absence.had_started(last) else 'never'
         fields['last'] = last.reason.value
         fields['last_target'] = last.target
         fields['last_started'] = started
         fields['last_held_ms'] = last.ended_at - last.placed_at
     stage = absent.stage.value
-    return f'{stage}: {effect.detail(fields)}'
+    return f'{stage}: {effect.format_detail(fields)}'
--- a/mulberrywalk/replica/delivery.py
+++ b/mulberrywalk/replica/delivery.py
@@ -67,7 +67,7 @@
     def resend_session(self, session: identity.SessionId, now: int) -> None:
         """Resend all unconfirmed commands of a session that changed entry."""
         tables = self._engine.tables
-        for name in sorted(tables.by_session.get(session, ())):
+        for name in sorted(tables.attempts_by_session.get(session, ())):
             attempt = tables.attempts[name]
             if is_unconfirmed(attempt):
                 self._resend(attempt, now)
--- a/mulberrywalk/replica/silence.py
+++ b/mulberrywalk/replica/silence.py
@@ -60,7 +60,7 @@
         self._heard_at = {
             name: self._heard_at.get(name, now) for name in sessions
         }
-        attempts = self._engine.tables.by_session
+        attempts = self._engine.tables.attempts_by_session
         self._busy_since = {
             name: self._busy_since.get(name, now)
             for name in sessions
--- a/mulberrywalk/replica/view.py
+++ b/mulberrywalk/replica/view.py
@@ -98,7 +98,7 @@
         'with_room': len(loads_with_room),
         'barred': len(step.barred),
         'tickets': len(step.tickets),
-        'valid': len(advice.find_valid(tables, step)),
+        'valid': len(advice.find_valid_tickets(tables, step)),
         'asked_ms_ago': step.asked_at and tables.time - step.asked_at,
     }
     shown = ' '.join(f'{name}={count}' for name, count in counts.items())
@@ -161,7 +161,7 @@
 
 
 def _waiting_reason(tables: state.State, task: job.Task) -> str:
-    if task.task in tables.waiting.aside:
+    if task.task in tables.waiting.infeasible:
         return 'no target is large enough, however empty'
     if task.not_before > tables.time:
         return 'a retry is delayed'
@@ -179,14 +179,14 @@
     tables: state.State, task: job.Task, demand: resource.Resources
 ) -> list[str]:
     """Return the resources that targets lack, the most frequent first."""
-    is_aside = task.task in tables.waiting.aside
+    is_infeasible = task.task in tables.waiting.infeasible
     amounts = [
-        load.capacity if is_aside else load.free
+        load.capacity if is_infeasible else load.free
         for load in tables.fleet.loads.values()
     ]
     lacking = collections.Counter(
         itertools.chain.from_iterable(
-            resource.lacking(demand, amount) for amount in amounts
+            resource.list_insufficient(demand, amount) for amount in amounts
         )
     )
     return [name for name, _ in lacking.most_common()]
@@ -208,7 +208,7 @@
     tables: state.State, load: fleet.TargetLoad, demand: resource.Resources
 ) -> list[str]:
     record = tables.targets[identity.TargetId(load.target)]
-    conditions = resource.lacking(demand, load.free)
+    conditions = resource.list_insufficient(demand, load.free)
     if record.session is None:
         conditions.append('no_session')
     if record.is_leaving:
@@ -217,7 +217,7 @@
         conditions.append('silent')
     if record.health.until > tables.time:
         conditions.append('quarantined')
-    if load.is_probed and load.attempts:
+    if load.is_on_probation and load.attempts:
         conditions.append('on_probation')
     if load.reserved_for is not None:
         conditions.append('reserved_for_gang')
