--- a/mulberrywalk/replica/absence_monitor_test.py
+++ b/mulberrywalk/replica/absence_monitor_test.py
@@ -1,4 +1,4 @@
-"""Lasting work that does not run shows in the leader's gauges and lines."""
+"""Lasting tasks that do not run appear in gauges and log lines."""
 
 import pytest
 
@@ -6,12 +6,12 @@
 from ..telemetry import journal, metric
 from . import absence_monitor
 
-NAME = '0123456789abcdef'
-TASK = f'{NAME}.0.0.0'
+JOB_NAME = '0123456789abcdef'
+TASK = f'{JOB_NAME}.0.0.0'
 
 
 class FakeEngine:
-    """A state and its clock."""
+    """A state with two targets, and its clock."""
 
     def __init__(self):
         self.cell = cell_test.Cell(targets=2)
@@ -25,21 +25,21 @@
 
 
 class Scene:
-    """A watch over a cell with one job of lasting tasks."""
+    """A monitor of a cell with one job of lasting tasks."""
 
     def __init__(self):
         self.engine = FakeEngine()
         self.cell = self.engine.cell
-        self.lines = journal.Journal(journal.Origin('r1', 'dc0'))
+        self.logger = journal.Journal(journal.Origin('r1', 'dc0'))
         self.metrics = metric.Exposition(metric.NoMetrics())
         self.monitor = absence_monitor.AbsenceMonitor(
-            self.engine, self.lines, self.metrics
+            self.engine, self.logger, self.metrics
         )
 
     def submit(self, count=1):
         step = cell_test.step(count, 4000, is_lasting=True)
         self.cell.submit(
-            cell_test.specify(1, job.Kind.WORKFLOW, steps=(step,), job=NAME)
+            cell_test.specify(1, job.Kind.WORKFLOW, steps=(step,), job=JOB_NAME)
         )
         self.cell.dispatch()
 
@@ -47,12 +47,12 @@
         task = self.cell.tables.tasks[TASK]
         return self.cell.tables.attempts[task.attempt]
 
-    def report(self, passed=0):
-        """Return the lines of one look."""
-        self.cell.now += passed
-        known = len(self.lines.find(journal.Filter()))
+    def report(self, elapsed_ms=0):
+        """Return the log lines of one report."""
+        self.cell.now += elapsed_ms
+        known = len(self.logger.find(journal.Filter()))
         self.monitor.report()
-        return self.lines.find(journal.Filter())[known:]
+        return self.logger.find(journal.Filter())[known:]
 
     def gauges(self):
         shown = dict(line.split() for line in self.metrics.show().splitlines())
@@ -65,13 +65,13 @@
     return Scene()
 
 
-def test_short_absence_is_not_told(scene):
+def test_short_absence_is_not_reported(scene):
     scene.submit()
     assert not scene.report(2000)
     assert scene.gauges() == [0, 0, 0]
 
 
-def test_absence_is_told_with_its_stage_and_the_last_end(scene):
+def test_absence_is_reported_with_its_stage_and_last_attempt(scene):
     scene.submit()
     scene.cell.now += 5000
     scene.cell.apply(event.SessionExpired, scene.attempt().session)
@@ -83,7 +83,7 @@
         'r1',
         'dc0',
         'lasting work absent',
-        job=NAME,
+        job=JOB_NAME,
         task=TASK,
         attempt=f'{TASK}/2',
         target=attempt.target,
@@ -102,13 +102,13 @@
     assert scene.gauges() == [1, 1, 3000]
 
 
-def test_many_absences_give_a_few_lines(scene):
+def test_number_of_log_lines_is_limited(scene):
     scene.submit(count=40)
     assert len(scene.report(3000)) == 3
     assert scene.gauges() == [40, 0, 3000]
 
 
-def test_work_that_runs_again_is_not_absent_any_more(scene):
+def test_task_that_runs_again_is_no_longer_absent(scene):
     scene.submit()
     assert scene.report(3000)
     scene.cell.start(scene.attempt())
@@ -116,7 +116,7 @@
     assert scene.gauges() == [0, 0, 0]
 
 
-def test_replica_that_leads_no_more_shows_no_absence(scene):
+def test_former_leader_reports_no_absence(scene):
     scene.submit()
     assert scene.report(3000)
     scene.monitor.clear()
--- a/mulberrywalk/replica/advice_queue_test.py
+++ b/mulberrywalk/replica/advice_queue_test.py
@@ -1,4 +1,4 @@
-"""Each entry asks one question at a time, the most urgent first."""
+"""Each entry has one open request, and the most urgent is sent first."""
 
 import anyio
 import pytest
@@ -9,7 +9,7 @@
 
 
 class FakeLinks:
-    """Three entries, of which the patient may use two."""
+    """Three entries, one of them reserved for the most urgent requests."""
 
     def __init__(self):
         names = ('e0', 'e1', 'e2')
@@ -22,76 +22,78 @@
 
 
 @pytest.fixture
-def questions(links):
+def requests(links):
     return advice_queue.AdviceQueue(links)
 
 
-def wanted(step, urgency=job.Urgency.HIGH, expected_ms=600):
+def request(step, urgency=job.Urgency.HIGH, expected_ms=600):
     return effect.AskAdvice(step, ('t1',), urgency, expected_ms)
 
 
-def asked(links, name):
+def sent_steps(links, name):
     sent = anyio.run(links.open[name].outbox.take, 0)
-    return [one.step for one in sent if isinstance(one, wire.AdviceWanted)]
+    return [
+        message.step
+        for message in sent
+        if isinstance(message, wire.AdviceWanted)
+    ]
 
 
-def test_an_entry_asks_one_question_at_a_time(links, questions):
+def test_entry_has_one_open_request_at_a_time(links, requests):
     for step in ('a', 'b', 'c'):
-        questions.add(wanted(step))
-    assert asked(links, 'e0') == ['a']
-    assert asked(links, 'e1') == ['b']
-    questions.complete('b')
-    assert asked(links, 'e1') == ['c']
+        requests.add(request(step))
+    assert sent_steps(links, 'e0') == ['a']
+    assert sent_steps(links, 'e1') == ['b']
+    requests.complete('b')
+    assert sent_steps(links, 'e1') == ['c']
 
 
-def test_slow_questions_leave_an_entry_to_urgent_ones(links, questions):
+def test_one_entry_is_reserved_for_urgent_requests(links, requests):
     for step in ('a', 'b', 'c'):
-        questions.add(wanted(step))
-    assert asked(links, 'e2') == []
-    questions.add(wanted('d', job.Urgency.CRITICAL, 50))
-    assert asked(links, 'e2') == ['d']
+        requests.add(request(step))
+    assert sent_steps(links, 'e2') == []
+    requests.add(request('d', job.Urgency.CRITICAL, 50))
+    assert sent_steps(links, 'e2') == ['d']
 
 
-def test_the_most_urgent_is_asked_first(links, questions):
+def test_most_urgent_request_is_sent_first(links, requests):
     for step in ('a', 'b', 'c'):
-        questions.add(wanted(step))
+        requests.add(request(step))
     for step in ('d', 'e'):
-        questions.add(wanted(step, job.Urgency.CRITICAL, 50))
-    assert asked(links, 'e2') == ['d']
-    questions.complete('d')
-    assert asked(links, 'e2') == ['e']
-    questions.complete('a')
-    questions.complete('e')
-    assert asked(links, 'e0') == ['a', 'c']
+        requests.add(request(step, job.Urgency.CRITICAL, 50))
+    assert sent_steps(links, 'e2') == ['d']
+    requests.complete('d')
+    assert sent_steps(links, 'e2') == ['e']
+    requests.complete('a')
+    requests.complete('e')
+    assert sent_steps(links, 'e0') == ['a', 'c']
 
 
-def test_stopping_entry_is_not_asked(links, questions):
+def test_stopping_entry_gets_no_request(links, requests):
     links.open['e0'].is_stopping = True
-    questions.add(wanted('a'))
-    assert asked(links, 'e1') == ['a']
+    requests.add(request('a'))
+    assert sent_steps(links, 'e1') == ['a']
 
 
-def test_a_question_waits_until_an_entry_is_linked(links, questions):
-    opened = dict(links.open)
+def test_request_waits_until_an_entry_is_linked(links, requests):
+    open_links = dict(links.open)
     links.open.clear()
-    questions.add(wanted('a'))
-    links.open.update(opened)
-    questions.send_waiting()
-    assert asked(links, 'e0') == ['a']
+    requests.add(request('a'))
+    links.open.update(open_links)
+    requests.send_waiting()
+    assert sent_steps(links, 'e0') == ['a']
 
 
-def test_an_entry_that_is_gone_holds_no_question(links, questions):
-    questions.add(wanted('a'))
+def test_reconnected_entry_has_no_open_request(links, requests):
+    requests.add(request('a'))
     links.open['e0'] = link.Link('e0', 'dc')
-    questions.add(wanted('b'))
-    assert asked(links, 'e0') == ['b']
+    requests.add(request('b'))
+    assert sent_steps(links, 'e0') == ['b']
 
 
-def test_a_question_that_is_lost_with_its_entry_is_asked_by_another(
-    links, questions
-):
-    questions.add(wanted('a'))
-    assert asked(links, 'e0') == ['a']
+def test_request_of_a_disconnected_entry_is_sent_to_another(links, requests):
+    requests.add(request('a'))
+    assert sent_steps(links, 'e0') == ['a']
     links.open.pop('e0')
-    questions.send_waiting()
-    assert asked(links, 'e1') == ['a']
+    requests.send_waiting()
+    assert sent_steps(links, 'e1') == ['a']
--- a/mulberrywalk/replica/assignment_test.py
+++ b/mulberrywalk/replica/assignment_test.py
@@ -1,4 +1,4 @@
-"""Which entry calls which target, when entries come, stop and fall silent."""
+"""Assignment of targets when entries connect, stop or get no answers."""
 
 import collections
 import dataclasses
@@ -12,10 +12,10 @@
 
 
 class FakeLinks:
-    """The links that are open, by process."""
+    """The open links by process name."""
 
     def __init__(self, *entries):
-        self.open = {one.process: one for one in entries}
+        self.open = {entry.process: entry for entry in entries}
 
     def send(self, process, message):
         entry = self.open.get(process)
@@ -29,12 +29,12 @@
 
 
 class FakeEngine:
-    """A state with called targets, and a term."""
+    """A state with called targets, in term 3."""
 
     def __init__(self, targets=1):
         self.cell = cell_test.Cell()
         self.node = FakeNode()
-        self.sessions = [self.open_session(one) for one in range(targets)]
+        self.sessions = [self.open_session(number) for number in range(targets)]
         self.session = self.sessions[0]
 
     def open_session(self, number):
@@ -50,20 +50,27 @@
 
 
 class Scene:
-    """A leader's assignments over some entries."""
+    """The assignments of a leader to entries in the given data centres."""
 
-    def __init__(self, *places, targets=1):
+    def __init__(self, *data_centres, targets=1):
         self.engine = FakeEngine(targets)
         self.entries = [
-            link.Link(f'e{number}', place)
-            for number, place in enumerate(places)
+            link.Link(f'e{number}', data_centre)
+            for number, data_centre in enumerate(data_centres)
         ]
         self.links = FakeLinks(*self.entries)
         self.leases = lease.Leases(0)
-        commands = delivery.Delivery(self.engine, self.links, self.leases)
-        self.lines = journal.Journal(journal.Origin('r', 'dc0'))
+        command_delivery = delivery.Delivery(
+            self.engine, self.links, self.leases
+        )
+        self.logger = journal.Journal(journal.Origin('r', 'dc0'))
         self.assignments = assignment.Assignments(
-            self.engine, self.links, self.leases, commands, self.lines, 0
+            self.engine,
+            self.links,
+            self.leases,
+            command_delivery,
+            self.logger,
+            0,
         )
 
     def rebalance(self, now=assignment.CLAIM_GRACE_MS):
@@ -80,39 +87,45 @@
 
     def assigned(self, number):
         sent = anyio.run(self.entries[number].outbox.take, 0)
-        return [one for one in sent if isinstance(one, wire.Assignment)]
+        return [
+            message for message in sent if isinstance(message, wire.Assignment)
+        ]
 
 
-def test_target_goes_to_an_entry_of_its_data_centre():
+def test_target_is_assigned_to_an_entry_of_its_data_centre():
     scene = Scene('dc1', 'dc0')
     assert scene.rebalance() == 'e1'
-    told = cell_test.only(scene.assigned(1))
-    assert (told.address, told.born_at, told.term) == ('a:0', 100, 3)
+    sent_assignment = cell_test.only(scene.assigned(1))
+    assert (
+        sent_assignment.address,
+        sent_assignment.born_at,
+        sent_assignment.term,
+    ) == ('a:0', 100, 3)
 
 
-def test_the_log_says_how_many_targets_an_entry_is_given():
+def test_log_line_counts_the_targets_assigned_to_an_entry():
     scene = Scene('dc0', targets=3)
     scene.rebalance()
     scene.rebalance(700)
-    told = cell_test.only(scene.lines.find(journal.Filter()))
-    assert told.what == 'targets assigned'
-    assert told.detail == '3 to e0, 3 now'
+    line = cell_test.only(scene.logger.find(journal.Filter()))
+    assert line.what == 'targets assigned'
+    assert line.detail == '3 to e0, 3 now'
 
 
-def test_target_stays_where_it_answers():
+def test_answering_target_keeps_its_entry():
     scene = Scene('dc0', 'dc0')
     first = scene.rebalance()
     scene.leases.renew(scene.engine.session, first, 3000)
     assert scene.rebalance(5000) == first
 
 
-def test_target_that_falls_silent_is_given_to_another_entry():
+def test_silent_target_is_assigned_to_another_entry():
     scene = Scene('dc0', 'dc0')
     first = scene.rebalance()
     assert scene.rebalance(4000) != first
 
 
-def test_target_of_a_stopping_or_lost_entry_is_given_to_another():
+def test_target_of_a_stopping_or_disconnected_entry_is_reassigned():
     scene = Scene('dc0', 'dc1')
     assert scene.rebalance() == 'e0'
     scene.entries[0].is_stopping = True
@@ -122,18 +135,18 @@
     assert scene.rebalance(620) == 'e0'
 
 
-def test_an_entry_stops_looking_at_what_was_given_away():
+def test_entry_is_told_that_its_target_was_reassigned():
     scene = Scene('dc0', 'dc0')
     scene.entries[1].is_stopping = True
     assert scene.rebalance() == 'e0'
     scene.entries[1].is_stopping = False
     assert scene.rebalance(4000) == 'e1'
     sent = anyio.run(scene.entries[0].outbox.take, 0)
-    gone = [one for one in sent if isinstance(one, wire.Gone)]
+    gone = [message for message in sent if isinstance(message, wire.Gone)]
     assert gone == [wire.Gone((scene.engine.session,))]
 
 
-def test_only_the_assigned_entry_may_renew():
+def test_only_the_assigned_entry_may_renew_a_session():
     scene = Scene('dc0', 'dc1')
     scene.rebalance()
     session = scene.engine.session
@@ -141,7 +154,7 @@
     assert not scene.assignments.may_renew(session, 'e1')
 
 
-def test_the_first_entry_to_reach_a_new_leader_is_not_given_every_target():
+def test_first_entry_to_connect_does_not_get_every_target():
     scene = Scene('dc0', 'dc0', 'dc1', 'dc1', targets=12)
     for number in (1, 2, 3):
         scene.links.open.pop(f'e{number}')
@@ -154,20 +167,20 @@
     assert max(scene.counts().values()) <= 6, scene.counts()
 
 
-def test_an_entry_goes_on_with_what_it_carries_under_a_new_leader():
+def test_entry_keeps_its_claimed_sessions_under_a_new_leader():
     scene = Scene('dc1', 'dc0', targets=2)
-    kept, orphan = scene.engine.sessions
-    assert scene.assignments.accept_claim(kept, scene.entries[0], 10)
-    told = cell_test.only(scene.assigned(0))
-    assert (told.session, told.term) == (kept, 3)
+    claimed, unclaimed = scene.engine.sessions
+    assert scene.assignments.accept_claim(claimed, scene.entries[0], 10)
+    sent_assignment = cell_test.only(scene.assigned(0))
+    assert (sent_assignment.session, sent_assignment.term) == (claimed, 3)
     scene.rebalance(100)
-    assert scene.leases.entry_of(orphan) == ''
+    assert scene.leases.entry_of(unclaimed) == ''
     scene.rebalance(assignment.CLAIM_GRACE_MS)
-    assert scene.leases.entry_of(kept) == 'e0'
-    assert scene.leases.entry_of(orphan)
+    assert scene.leases.entry_of(claimed) == 'e0'
+    assert scene.leases.entry_of(unclaimed)
 
 
-def test_an_entry_does_not_take_back_what_was_given_to_another():
+def test_entry_cannot_claim_a_session_assigned_to_another():
     scene = Scene('dc0', 'dc1')
     scene.rebalance()
     assert not scene.assignments.accept_claim(
@@ -176,7 +189,7 @@
     assert not scene.assignments.accept_claim('s99', scene.entries[1], 700)
 
 
-def test_a_stopping_entry_keeps_nothing_under_a_new_leader():
+def test_stopping_entry_cannot_claim_a_session():
     scene = Scene('dc0')
     scene.entries[0].is_stopping = True
     assert not scene.assignments.accept_claim(
@@ -184,14 +197,14 @@
     )
 
 
-def test_a_target_that_is_new_to_a_leader_is_assigned_at_once():
+def test_new_target_is_assigned_without_waiting_for_claims():
     scene = Scene('dc0')
     session = scene.engine.open_session(1)
     scene.rebalance(100)
     assert scene.leases.entry_of(session) == 'e0'
 
 
-def test_targets_move_from_an_entry_that_has_far_more_than_its_share():
+def test_targets_move_away_from_an_overloaded_entry():
     scene = Scene('dc0', 'dc0', 'dc0', targets=12)
     for number in (1, 2):
         scene.links.open.pop(f'e{number}')
@@ -206,29 +219,35 @@
     assert scene.counts() == before
 
 
-def test_an_entry_that_links_again_to_one_leader_keeps_its_targets():
+def test_reconnected_entry_keeps_its_targets():
     scene = Scene('dc0', 'dc0')
     first = scene.rebalance()
     entry = scene.links.open.pop(first)
-    again = link.Link(first, entry.data_centre)
-    scene.links.open[first] = again
-    assert scene.assignments.accept_claim(scene.engine.session, again, 700)
-    sent = anyio.run(again.outbox.take, 0)
-    told = [one for one in sent if isinstance(one, wire.Assignment)]
-    assert cell_test.only(told).session == scene.engine.session
+    reconnected = link.Link(first, entry.data_centre)
+    scene.links.open[first] = reconnected
+    assert scene.assignments.accept_claim(
+        scene.engine.session, reconnected, 700
+    )
+    sent = anyio.run(reconnected.outbox.take, 0)
+    assignments = [
+        message for message in sent if isinstance(message, wire.Assignment)
+    ]
+    assert cell_test.only(assignments).session == scene.engine.session
 
 
-def test_targets_outlast_a_leader_that_all_entries_lose_for_a_moment():
+def test_targets_can_be_claimed_after_all_entries_disconnect_briefly():
     scene = Scene('dc0')
     assert scene.rebalance() == 'e0'
     entry = scene.links.open.pop('e0')
     scene.rebalance(700)
-    again = link.Link('e0', entry.data_centre)
-    scene.links.open['e0'] = again
-    assert scene.assignments.accept_claim(scene.engine.session, again, 750)
+    reconnected = link.Link('e0', entry.data_centre)
+    scene.links.open['e0'] = reconnected
+    assert scene.assignments.accept_claim(
+        scene.engine.session, reconnected, 750
+    )
 
 
-def test_an_entry_that_reaches_no_target_is_not_given_the_next():
+def test_entry_that_reaches_no_target_gets_no_new_target():
     scene = Scene('dc0', 'dc0', 'dc0', targets=6)
     scene.rebalance()
     for now in range(700, 3300, 100):
@@ -238,24 +257,24 @@
                 scene.leases.renew(session, entry, now)
         scene.rebalance(now)
     assert not scene.counts()['e0']
-    fresh = scene.engine.open_session(6)
+    new_session = scene.engine.open_session(6)
     scene.rebalance(3300)
-    assert scene.leases.entry_of(fresh) != 'e0'
+    assert scene.leases.entry_of(new_session) != 'e0'
 
 
-def test_links_that_are_lost_at_once_do_not_give_one_entry_every_target():
+def test_targets_stay_spread_when_all_links_close_at_once():
     scene = Scene('dc0', 'dc0', 'dc1', 'dc1', targets=12)
     scene.rebalance()
-    carried = collections.defaultdict(list)
+    served = collections.defaultdict(list)
     for session in scene.engine.sessions:
-        carried[scene.leases.entry_of(session)].append(session)
+        served[scene.leases.entry_of(session)].append(session)
     names = list(scene.links.open)
     scene.links.open.clear()
     scene.rebalance(700)
-    # They come back one after the other, to the leader that they had.
+    # The entries reconnect to the same leader one after the other.
     for number, name in enumerate(names):
         scene.link(number)
-        for session in carried[name]:
+        for session in served[name]:
             scene.assignments.accept_claim(session, scene.entries[number], 800)
         scene.rebalance(800 + 100 * number)
         assert max(scene.counts().values()) <= 6, scene.counts()
--- a/mulberrywalk/replica/engine_test.py
+++ b/mulberrywalk/replica/engine_test.py
@@ -1,4 +1,7 @@
-"""A replica with much to apply goes on hearing and being heard."""
+"""A replica with a long backlog keeps running rounds while applying it.
+
+Also covers events that the log cannot hold.
+"""
 
 import anyio
 import msgspec
@@ -11,8 +14,8 @@
 from . import engine
 
 ENTRIES = 400
-# As if each reading of the clock were a hard entry later.
-READING_MS = 15
+# Each reading of the clock advances it by the cost of an expensive entry.
+CLOCK_STEP_MS = 15
 
 
 def entry(index):
@@ -25,9 +28,9 @@
     member = message.Member(message.ReplicaId('a'), 'a:1', 'dc', voter=True)
     storage.found(tmp_path, message.Membership((member,)), 'a')
     opened = storage.Disk(tmp_path, storage.load(tmp_path, 'a'))
-    written = tuple(map(entry, range(1, ENTRIES + 1)))
+    entries = tuple(map(entry, range(1, ENTRIES + 1)))
     opened.write(
-        [node.SaveVote(1, None), node.SaveEntries(written)],
+        [node.SaveVote(1, None), node.SaveEntries(entries)],
         committed=ENTRIES // 2,
     )
     opened.close()
@@ -36,20 +39,20 @@
 
 def open_engine(folder):
     loaded = storage.load(folder, 'a')
-    lines = journal.Journal(journal.Origin('a', 'dc'))
+    logger = journal.Journal(journal.Origin('a', 'dc'))
     return engine.Engine(
         loaded,
         storage.Disk(folder, loaded),
         node.Timing(),
-        lines,
+        logger,
         snapshot_entries=10_000,
     )
 
 
-def run_rounds(running, count):
+def run_rounds(replica_engine, count):
     async def run():
         for _ in range(count):
-            await running.run_round()
+            await replica_engine.run_round()
 
     anyio.run(run)
 
@@ -59,77 +62,77 @@
     now = [clock.monotonic_ms()]
 
     def read():
-        now[0] += READING_MS
+        now[0] += CLOCK_STEP_MS
         return now[0]
 
     monkeypatch.setattr(engine.clock, 'monotonic_ms', read)
     return now
 
 
-def test_what_is_known_to_be_committed_is_applied_without_a_leader(folder):
-    running = open_engine(folder)
-    run_rounds(running, 1)
-    assert running.node.role is node.Role.FOLLOWER
-    assert running.tables.time == ENTRIES // 2
+def test_known_committed_entries_are_applied_without_a_leader(folder):
+    replica_engine = open_engine(folder)
+    run_rounds(replica_engine, 1)
+    assert replica_engine.node.role is node.Role.FOLLOWER
+    assert replica_engine.tables.time == ENTRIES // 2
 
 
-def test_a_round_applies_for_a_limited_time(folder, slow_clock):
-    running = open_engine(folder)
+def test_round_applies_entries_within_its_time_budget(folder, slow_clock):
+    replica_engine = open_engine(folder)
     began_at = slow_clock[0]
-    run_rounds(running, 1)
-    assert 0 < running.tables.time < ENTRIES // 2
-    assert slow_clock[0] - began_at < engine.APPLY_BUDGET_MS + 5 * READING_MS
+    run_rounds(replica_engine, 1)
+    assert 0 < replica_engine.tables.time < ENTRIES // 2
+    assert slow_clock[0] - began_at < engine.APPLY_BUDGET_MS + 5 * CLOCK_STEP_MS
 
 
-def test_a_leader_serves_once_it_has_applied_all(folder, slow_clock):
-    running = open_engine(folder)
-    began = []
-    running.callbacks = engine.Callbacks(
+def test_leader_serves_once_it_has_applied_all_entries(folder, slow_clock):
+    replica_engine = open_engine(folder)
+    caught_up = []
+    replica_engine.callbacks = engine.Callbacks(
         lambda *_: None,
         lambda _: None,
-        lambda: began.append(running.has_caught_up()),
+        lambda: caught_up.append(replica_engine.has_caught_up()),
     )
     was_behind = False
     for _ in range(ENTRIES):
-        run_rounds(running, 1)
-        is_leading = running.node.role is node.Role.LEADER
-        is_served = running.is_serving()
+        run_rounds(replica_engine, 1)
+        is_leading = replica_engine.node.role is node.Role.LEADER
+        is_served = replica_engine.is_serving()
         was_behind |= is_leading and not is_served
         if is_served:
             break
     assert was_behind
-    assert running.is_serving()
-    assert running.tables.time == ENTRIES
-    # Told of the role, and again once there is something to begin with.
-    assert began[-1]
+    assert replica_engine.is_serving()
+    assert replica_engine.tables.time == ENTRIES
+    # Called for the role change, and again once all entries are applied.
+    assert caught_up[-1]
 
 
 @pytest.fixture
-def leading(tmp_path):
+def leading_engine(tmp_path):
     member = message.Member(message.ReplicaId('a'), 'a:1', 'dc', voter=True)
     storage.found(tmp_path, message.Membership((member,)), 'a')
     return open_engine(tmp_path)
 
 
-def lead(running):
-    """Let an engine lead, apply what it was proposed, and stay alive."""
+def lead(replica_engine):
+    """Run an engine until it leads and has applied all entries."""
 
     async def run():
         deadline = clock.monotonic_ms() + 5000
-        while not running.is_serving():
+        while not replica_engine.is_serving():
             assert clock.monotonic_ms() < deadline
-            await running.run_round()
+            await replica_engine.run_round()
             await anyio.sleep(0.01)
 
     anyio.run(run)
 
 
-def opened(**changes):
+def session_opened(**changes):
     announced = cell_test.announce(0, 'n', born_at=1, address='10.0.0.1:1')
     return event.SessionOpened(1, msgspec.structs.replace(announced, **changes))
 
 
-def routed(**changes):
+def configuration_replaced(**changes):
     queue = configuration.Queue(
         'q', 'h', '/', 'p', job.Urgency.HIGH, 3000, 1, 100, 1
     )
@@ -139,36 +142,38 @@
     return event.ConfigurationReplaced(1, routing)
 
 
-UNWRITABLE = (
-    opened(capacity=resource.Resources(10**40, 1, 0, 1)),
-    opened(born_at=-(10**40)),
-    routed(timeout_ms=10**300),
-    # Written, it could be read by no replica.
-    routed(advice=job.AdviceSettings(-5, 1, 1)),
+INVALID_EVENTS = (
+    session_opened(capacity=resource.Resources(10**40, 1, 0, 1)),
+    session_opened(born_at=-(10**40)),
+    configuration_replaced(timeout_ms=10**300),
+    # It can be encoded, but no replica could decode it.
+    configuration_replaced(advice=job.AdviceSettings(-5, 1, 1)),
 )
 
 
-@pytest.mark.parametrize('odd', UNWRITABLE)
-def test_event_that_the_log_cannot_hold_is_refused_alone(leading, odd):
-    lead(leading)
+@pytest.mark.parametrize('invalid_event', INVALID_EVENTS)
+def test_only_the_event_that_the_log_cannot_hold_is_refused(
+    leading_engine, invalid_event
+):
+    lead(leading_engine)
     before, refused, after = [], [], []
-    leading.propose(opened(), before.append)
-    leading.propose(odd, refused.append)
-    leading.propose(routed(), after.append)
-    run_rounds(leading, 3)
+    leading_engine.propose(session_opened(), before.append)
+    leading_engine.propose(invalid_event, refused.append)
+    leading_engine.propose(configuration_replaced(), after.append)
+    run_rounds(leading_engine, 3)
     assert isinstance(before[0], outcome.SessionGranted)
     assert isinstance(refused[0], outcome.NotRun)
     assert isinstance(after[0], outcome.PatchAccepted)
 
 
-@pytest.mark.parametrize('odd', UNWRITABLE)
-def test_replica_starts_again_after_an_event_that_it_refused(
-    leading, odd, tmp_path
+@pytest.mark.parametrize('invalid_event', INVALID_EVENTS)
+def test_replica_restarts_after_it_refused_an_event(
+    leading_engine, invalid_event, tmp_path
 ):
-    lead(leading)
-    leading.propose(odd, lambda _: None)
-    leading.propose(opened(), lambda _: None)
-    run_rounds(leading, 3)
-    again = open_engine(tmp_path)
-    lead(again)
-    assert len(again.tables.sessions) == 1
+    lead(leading_engine)
+    leading_engine.propose(invalid_event, lambda _: None)
+    leading_engine.propose(session_opened(), lambda _: None)
+    run_rounds(leading_engine, 3)
+    restarted = open_engine(tmp_path)
+    lead(restarted)
+    assert len(restarted.tables.sessions) == 1
--- a/mulberrywalk/replica/registry_test.py
+++ b/mulberrywalk/replica/registry_test.py
@@ -1,4 +1,4 @@
-"""Announcements of called targets: what is recorded, and what is late."""
+"""Heartbeats of called targets: recorded, outdated or of unknown pools."""
 
 import dataclasses
 
@@ -12,11 +12,11 @@
 
 
 class FakeEngine:
-    """Applies events at once."""
+    """Applies proposed events at once."""
 
     def __init__(self):
         self.cell = cell_test.Cell()
-        self.decided = []
+        self.proposed = []
 
     @property
     def tables(self):
@@ -25,147 +25,174 @@
     def time(self):
         return self.cell.now
 
-    async def propose_and_wait(self, occurred):
-        self.decided.append(type(occurred))
+    async def propose_and_wait(self, new_event):
+        self.proposed.append(type(new_event))
         fields = [
-            getattr(occurred, name) for name in occurred.__struct_fields__
+            getattr(new_event, name) for name in new_event.__struct_fields__
         ]
-        return self.cell.apply(type(occurred), *fields[1:])[0].outcome
+        return self.cell.apply(type(new_event), *fields[1:])[0].outcome
 
 
-def sight(sequence=1, born_at=100, *, is_leaving=False):
+def heartbeat(sequence=1, born_at=100, *, is_leaving=False):
     announced = cell_test.announce(
         0, str(born_at), born_at=born_at, address='a:1'
     )
     return registry.TargetHeartbeat(announced, sequence, is_leaving)
 
 
-def announce(*sightings):
-    running = FakeEngine()
-    heard = registry.Registry(running)
+def process(*heartbeats):
+    replica_engine = FakeEngine()
+    target_registry = registry.Registry(replica_engine)
 
     async def run():
-        return [await heard.process_heartbeat(one) for one in sightings]
+        return [
+            await target_registry.process_heartbeat(beat) for beat in heartbeats
+        ]
 
-    return running, anyio.run(run)
+    return replica_engine, anyio.run(run)
 
 
-def test_first_announcement_opens_a_session_and_a_second_changes_nothing():
-    running, _ = announce(sight(1), sight(2))
-    assert running.decided == [event.SessionOpened]
+def test_first_heartbeat_opens_a_session_and_second_changes_nothing():
+    replica_engine, _ = process(heartbeat(1), heartbeat(2))
+    assert replica_engine.proposed == [event.SessionOpened]
 
 
 def test_departure_is_recorded_once():
-    running, _ = announce(
-        sight(1), sight(2, is_leaving=True), sight(3, is_leaving=True)
+    replica_engine, _ = process(
+        heartbeat(1),
+        heartbeat(2, is_leaving=True),
+        heartbeat(3, is_leaving=True),
     )
-    assert running.decided == [event.SessionOpened, event.DepartureAnnounced]
-    assert running.tables.targets[TARGET].is_leaving
+    assert replica_engine.proposed == [
+        event.SessionOpened,
+        event.DepartureAnnounced,
+    ]
+    assert replica_engine.tables.targets[TARGET].is_leaving
 
 
-def test_late_announcement_does_not_undo_a_departure():
-    running, told = announce(sight(1), sight(5, is_leaving=True), sight(4))
-    assert isinstance(told[-1], outcome.Recorded)
-    assert running.tables.targets[TARGET].is_leaving
+def test_delayed_heartbeat_does_not_undo_a_departure():
+    replica_engine, outcomes = process(
+        heartbeat(1), heartbeat(5, is_leaving=True), heartbeat(4)
+    )
+    assert isinstance(outcomes[-1], outcome.Recorded)
+    assert replica_engine.tables.targets[TARGET].is_leaving
 
 
-def test_announcement_of_an_earlier_life_is_late():
-    running, _ = announce(sight(1, born_at=200), sight(9, born_at=100))
-    assert running.decided == [event.SessionOpened]
+def test_heartbeat_of_an_earlier_incarnation_is_outdated():
+    replica_engine, _ = process(
+        heartbeat(1, born_at=200), heartbeat(9, born_at=100)
+    )
+    assert replica_engine.proposed == [event.SessionOpened]
 
 
-def test_new_life_opens_a_session_of_its_own():
-    running, told = announce(sight(9, born_at=100), sight(1, born_at=200))
-    assert told[0].session != told[1].session
-    assert running.tables.targets[TARGET].session == told[1].session
+def test_new_incarnation_opens_a_new_session():
+    replica_engine, outcomes = process(
+        heartbeat(9, born_at=100), heartbeat(1, born_at=200)
+    )
+    assert outcomes[0].session != outcomes[1].session
+    assert replica_engine.tables.targets[TARGET].session == outcomes[1].session
 
 
-def test_leaving_target_that_is_not_known_opens_no_session():
-    running, _ = announce(sight(1, is_leaving=True))
-    assert not running.decided
+def test_unknown_leaving_target_opens_no_session():
+    replica_engine, _ = process(heartbeat(1, is_leaving=True))
+    assert not replica_engine.proposed
 
 
-def test_farewell_counts_only_after_a_departure(monkeypatch):
+def test_deregistration_ends_a_session_only_after_a_departure(monkeypatch):
     monkeypatch.setattr(registry, '_DEREGISTER_DELAY_S', 0)
-    running = FakeEngine()
-    heard = registry.Registry(running)
+    replica_engine = FakeEngine()
+    target_registry = registry.Registry(replica_engine)
 
     async def run():
-        await heard.process_heartbeat(sight(1))
-        await heard.deregister(TARGET)
-        assert TARGET in running.tables.targets
-        await heard.process_heartbeat(sight(2, is_leaving=True))
-        await heard.deregister(TARGET)
-        assert TARGET not in running.tables.targets
+        await target_registry.process_heartbeat(heartbeat(1))
+        await target_registry.deregister(TARGET)
+        assert TARGET in replica_engine.tables.targets
+        await target_registry.process_heartbeat(heartbeat(2, is_leaving=True))
+        await target_registry.deregister(TARGET)
+        assert TARGET not in replica_engine.tables.targets
 
     anyio.run(run)
 
 
-def configure(running, *pools):
+def configure(replica_engine, *pools):
     named = tuple(map(configuration.PoolSettings, pools))
     routing = configuration.Routing(1, (), named)
-    running.cell.apply(event.ConfigurationReplaced, routing)
+    replica_engine.cell.apply(event.ConfigurationReplaced, routing)
 
 
-def of_pool(pool, sighting):
+def with_pool(pool, original):
     announced = msgspec.structs.replace(
-        sighting.announcement, pool=identity.Pool(pool)
+        original.announcement, pool=identity.Pool(pool)
     )
-    return dataclasses.replace(sighting, announcement=announced)
+    return dataclasses.replace(original, announcement=announced)
 
 
-def test_announcement_for_a_pool_that_is_not_named_ends_no_neighbour():
-    running = FakeEngine()
-    heard = registry.Registry(running)
-    configure(running, 'p')
-    other = sight(2**60, born_at=200)
-    neighbour = msgspec.structs.replace(
+def test_heartbeat_with_an_unknown_pool_affects_no_other_target():
+    replica_engine = FakeEngine()
+    target_registry = registry.Registry(replica_engine)
+    configure(replica_engine, 'p')
+    other = heartbeat(2**60, born_at=200)
+    other_target = msgspec.structs.replace(
         other.announcement, target=identity.TargetId('t9')
     )
 
     async def run():
-        await heard.process_heartbeat(of_pool('p', sight(1)))
-        for odd in (other, dataclasses.replace(other, announcement=neighbour)):
-            assert heard.has_unknown_pool(of_pool('odd', odd))
-            told = await heard.process_heartbeat(of_pool('odd', odd))
-            assert isinstance(told, outcome.Recorded)
-        await heard.process_heartbeat(of_pool('p', sight(2, is_leaving=True)))
+        await target_registry.process_heartbeat(with_pool('p', heartbeat(1)))
+        for unknown in (
+            other,
+            dataclasses.replace(other, announcement=other_target),
+        ):
+            assert target_registry.has_unknown_pool(with_pool('odd', unknown))
+            outcomes = await target_registry.process_heartbeat(
+                with_pool('odd', unknown)
+            )
+            assert isinstance(outcomes, outcome.Recorded)
+        await target_registry.process_heartbeat(
+            with_pool('p', heartbeat(2, is_leaving=True))
+        )
 
     anyio.run(run)
-    assert running.decided == [event.SessionOpened, event.DepartureAnnounced]
-    assert list(running.tables.targets) == [TARGET]
+    assert replica_engine.proposed == [
+        event.SessionOpened,
+        event.DepartureAnnounced,
+    ]
+    assert list(replica_engine.tables.targets) == [TARGET]
 
 
-def test_departure_from_a_pool_that_is_named_no_more_is_recorded():
-    running = FakeEngine()
-    heard = registry.Registry(running)
+def test_departure_from_a_removed_pool_is_recorded():
+    replica_engine = FakeEngine()
+    target_registry = registry.Registry(replica_engine)
 
     async def run():
-        await heard.process_heartbeat(of_pool('p', sight(1)))
-        configure(running, 'other')
-        await heard.process_heartbeat(of_pool('p', sight(2, is_leaving=True)))
+        await target_registry.process_heartbeat(with_pool('p', heartbeat(1)))
+        configure(replica_engine, 'other')
+        await target_registry.process_heartbeat(
+            with_pool('p', heartbeat(2, is_leaving=True))
+        )
 
     anyio.run(run)
-    assert running.tables.targets[TARGET].is_leaving
+    assert replica_engine.tables.targets[TARGET].is_leaving
 
 
-def test_target_of_a_pool_that_only_a_job_needs_is_taken():
-    running = FakeEngine()
-    heard = registry.Registry(running)
-    configure(running, 'other')
+def test_pool_that_only_a_job_needs_is_known():
+    replica_engine = FakeEngine()
+    target_registry = registry.Registry(replica_engine)
+    configure(replica_engine, 'other')
     needs = (job.StepSpecification(1),)
     submitted = job.Specification(
         'r', 'a', job.Kind.WORKFLOW, steps=needs, pool='p'
     )
-    running.cell.apply(event.JobSubmitted, submitted, 'd')
-    assert not heard.has_unknown_pool(of_pool('p', sight(1)))
-    assert heard.has_unknown_pool(of_pool('q', sight(1)))
-
-
-def test_target_is_taken_before_any_pool_is_named_and_once_its_own_is():
-    running = FakeEngine()
-    heard = registry.Registry(running)
-    assert not heard.has_unknown_pool(of_pool('p', sight(1)))
-    configure(running, 'other')
-    assert heard.has_unknown_pool(of_pool('p', sight(1)))
-    assert not heard.has_unknown_pool(of_pool('other', sight(1)))
+    replica_engine.cell.apply(event.JobSubmitted, submitted, 'd')
+    assert not target_registry.has_unknown_pool(with_pool('p', heartbeat(1)))
+    assert target_registry.has_unknown_pool(with_pool('q', heartbeat(1)))
+
+
+def test_pool_is_known_while_none_is_configured_and_when_it_is_itself():
+    replica_engine = FakeEngine()
+    target_registry = registry.Registry(replica_engine)
+    assert not target_registry.has_unknown_pool(with_pool('p', heartbeat(1)))
+    configure(replica_engine, 'other')
+    assert target_registry.has_unknown_pool(with_pool('p', heartbeat(1)))
+    assert not target_registry.has_unknown_pool(
+        with_pool('other', heartbeat(1))
+    )
--- a/mulberrywalk/replica/silence_test.py
+++ b/mulberrywalk/replica/silence_test.py
@@ -1,4 +1,4 @@
-"""Targets that fall silent are noted soon, and across leaders."""
+"""Silent targets are detected early, and their silence outlasts a leader."""
 
 import pytest
 
@@ -7,7 +7,7 @@
 
 
 class FakeEngine:
-    """A state with one target; proposals are kept, and applied at once."""
+    """A state with one target; proposals are recorded and applied at once."""
 
     def __init__(self):
         self.cell = cell_test.Cell()
@@ -25,16 +25,16 @@
     def time(self):
         return self.tables.time
 
-    def propose(self, occurred, told):
-        self.proposed.append(occurred.quiet_ms)
+    def propose(self, new_event, callback):
+        self.proposed.append(new_event.quiet_ms)
         if self.is_committing:
             self.cell.apply(
-                event.SilenceNoted, occurred.session, occurred.quiet_ms
+                event.SilenceNoted, new_event.session, new_event.quiet_ms
             )
 
 
 class Scene:
-    """What a leader knows of the target."""
+    """The leases and the silence detector of a new leader."""
 
     def __init__(self, engine, now=0):
         self.leases = lease.Leases(now)
@@ -48,17 +48,17 @@
     return FakeEngine()
 
 
-def test_a_silent_target_is_noted_once(engine):
+def test_silent_target_is_proposed_once(engine):
     scene = Scene(engine)
     scene.leases.renew(engine.session, 'e0', 1000)
     scene.detector.check(1000 + silence.IDLE_TIMEOUT_MS)
     assert not engine.proposed
-    for passed in (1, 2):
-        scene.detector.check(1000 + silence.IDLE_TIMEOUT_MS + passed)
+    for elapsed_ms in (1, 2):
+        scene.detector.check(1000 + silence.IDLE_TIMEOUT_MS + elapsed_ms)
     assert engine.proposed == [silence.IDLE_TIMEOUT_MS + 1]
 
 
-def test_a_target_at_work_is_noted_sooner(engine):
+def test_busy_target_is_proposed_sooner(engine):
     scene = Scene(engine)
     scene.leases.renew(engine.session, 'e0', 1000)
     engine.cell.submit(cell_test.specify(1))
@@ -68,28 +68,28 @@
     assert engine.proposed == [silence.BUSY_TIMEOUT_MS + 1]
 
 
-def test_a_target_that_was_idle_is_not_silent_once_it_has_work(engine):
+def test_idle_target_is_not_silent_as_soon_as_it_has_work(engine):
     scene = Scene(engine)
     scene.leases.renew(engine.session, 'e0', 1000)
     engine.cell.submit(cell_test.specify(1))
     engine.cell.dispatch()
     placed_at = 1000 + silence.BUSY_TIMEOUT_MS
-    for passed in (1, silence.IDLE_TIMEOUT_MS - silence.BUSY_TIMEOUT_MS):
-        scene.detector.check(placed_at + passed)
+    for elapsed_ms in (1, silence.IDLE_TIMEOUT_MS - silence.BUSY_TIMEOUT_MS):
+        scene.detector.check(placed_at + elapsed_ms)
     assert not engine.proposed
 
 
-def test_a_session_that_is_new_to_an_old_leader_is_not_silent(engine):
+def test_session_new_to_a_long_running_leader_is_not_silent(engine):
     detector = silence.SilenceDetector(engine, lease.Leases(0))
     detector.check(60_000)
     assert not engine.proposed
 
 
-def test_a_lease_is_renewed_only_once_the_silence_is_noted_as_over(engine):
+def test_lease_is_renewed_only_after_the_end_of_a_silence_is_committed(engine):
     scene = Scene(engine)
     engine.is_committing = False
     scene.detector.check(60_000)
-    # Proposed and not committed: a later leader may come to count from it.
+    # Proposed but not committed: a later leader may still count from it.
     assert not scene.detector.record_contact(engine.session, 60_001)
     engine.cell.apply(event.SilenceNoted, engine.session, engine.proposed[0])
     assert not scene.detector.record_contact(engine.session, 60_002)
@@ -99,22 +99,22 @@
     assert engine.proposed[1:] == [0]
 
 
-def test_a_new_leader_counts_a_lease_from_the_silence(engine):
+def test_new_leader_counts_a_lease_from_the_start_of_the_silence(engine):
     engine.cell.apply(event.SilenceNoted, engine.session, 2000)
     engine.cell.dispatch(1000)
     scene = Scene(engine, now=50_000)
-    # Of the second after the note, nine tenths are sure to have passed.
+    # Of the second since the record, 9/10 are certain to have passed.
     assert scene.leases.renewed_at(engine.session) == 50_000 - 2900
     assert engine.proposed == [2900]
-    over = 50_000 - 2900 + target.LEASE_MS + target.LEASE_MARGIN_MS
-    assert not scene.leases.expire([engine.session], over)
-    assert scene.leases.expire([engine.session], over + 1)
+    expires_at = 50_000 - 2900 + target.LEASE_MS + target.LEASE_MARGIN_MS
+    assert not scene.leases.expire([engine.session], expires_at)
+    assert scene.leases.expire([engine.session], expires_at + 1)
 
 
-def test_a_silence_is_noted_anew_by_each_leader(engine):
+def test_silence_is_recorded_again_by_each_leader(engine):
     engine.cell.apply(event.SilenceNoted, engine.session, 2000)
     Scene(engine, now=50_000)
-    # The next leader's clock of events is far ahead.
+    # The event clock of the next leader is far ahead.
     engine.cell.now += 60_000
     Scene(engine, now=80_000)
     assert engine.proposed == [2000, 2000]
--- a/mulberrywalk/replica/state_machine_test.py
+++ b/mulberrywalk/replica/state_machine_test.py
@@ -1,4 +1,4 @@
-"""Committed entries are applied in order, once, and not under a snapshot."""
+"""Committed entries are applied once, in order, on top of a snapshot."""
 
 import msgspec
 
@@ -13,24 +13,24 @@
 
 
 def test_entries_are_applied_one_by_one():
-    applying = state_machine.StateMachine(
+    replicated = state_machine.StateMachine(
         None, [entry(1, 10), entry(2, 20, 30)]
     )
-    applying.apply_next()
-    assert (applying.applied_index, applying.tables.time) == (1, 10)
-    assert applying.has_pending()
-    last = applying.apply_next()
+    replicated.apply_next()
+    assert (replicated.applied_index, replicated.tables.time) == (1, 10)
+    assert replicated.has_pending()
+    last = replicated.apply_next()
     assert last.outcomes() == [outcome.Recorded(), outcome.Recorded()]
-    assert (applying.applied_index, applying.tables.time) == (2, 30)
-    assert not applying.has_pending()
+    assert (replicated.applied_index, replicated.tables.time) == (2, 30)
+    assert not replicated.has_pending()
 
 
-def test_entries_under_a_snapshot_are_passed_over():
-    applying = state_machine.StateMachine(None, [entry(1, 10), entry(2, 20)])
+def test_entries_included_in_a_snapshot_are_skipped():
+    replicated = state_machine.StateMachine(None, [entry(1, 10), entry(2, 20)])
     payload = snapshot.encode(state.State(time=99))
     received = message.Snapshot(2, 1, message.Membership(()), payload)
-    applying.enqueue(entry(3, 100))
-    applying.install(received)
-    assert applying.tables.time == 99
-    assert applying.apply_next().entry.index == 3
-    assert not applying.has_pending()
+    replicated.enqueue(entry(3, 100))
+    replicated.install(received)
+    assert replicated.tables.time == 99
+    assert replicated.apply_next().entry.index == 3
+    assert not replicated.has_pending()
