--- a/mulberrywalk/replica/advice_queue_test.py
+++ b/mulberrywalk/replica/advice_queue_test.py
@@ -26,11 +26,11 @@
     return advice_queue.AdviceQueue(links)
 
 
-def request(step, urgency=job.Urgency.HIGH, expected_ms=600):
+def wanted(step, urgency=job.Urgency.HIGH, expected_ms=600):
     return effect.AskAdvice(step, ('t1',), urgency, expected_ms)
 
 
-def sent_steps(links, name):
+def asked(links, name):
     sent = anyio.run(links.open[name].outbox.take, 0)
     return [
         message.step
@@ -41,59 +41,59 @@
 
 def test_entry_has_one_open_request_at_a_time(links, requests):
     for step in ('a', 'b', 'c'):
-        requests.add(request(step))
-    assert sent_steps(links, 'e0') == ['a']
-    assert sent_steps(links, 'e1') == ['b']
+        requests.add(wanted(step))
+    assert asked(links, 'e0') == ['a']
+    assert asked(links, 'e1') == ['b']
     requests.complete('b')
-    assert sent_steps(links, 'e1') == ['c']
+    assert asked(links, 'e1') == ['c']
 
 
 def test_one_entry_is_reserved_for_urgent_requests(links, requests):
     for step in ('a', 'b', 'c'):
-        requests.add(request(step))
-    assert sent_steps(links, 'e2') == []
-    requests.add(request('d', job.Urgency.CRITICAL, 50))
-    assert sent_steps(links, 'e2') == ['d']
+        requests.add(wanted(step))
+    assert asked(links, 'e2') == []
+    requests.add(wanted('d', job.Urgency.CRITICAL, 50))
+    assert asked(links, 'e2') == ['d']
 
 
 def test_most_urgent_request_is_sent_first(links, requests):
     for step in ('a', 'b', 'c'):
-        requests.add(request(step))
+        requests.add(wanted(step))
     for step in ('d', 'e'):
-        requests.add(request(step, job.Urgency.CRITICAL, 50))
-    assert sent_steps(links, 'e2') == ['d']
+        requests.add(wanted(step, job.Urgency.CRITICAL, 50))
+    assert asked(links, 'e2') == ['d']
     requests.complete('d')
-    assert sent_steps(links, 'e2') == ['e']
+    assert asked(links, 'e2') == ['e']
     requests.complete('a')
     requests.complete('e')
-    assert sent_steps(links, 'e0') == ['a', 'c']
+    assert asked(links, 'e0') == ['a', 'c']
 
 
 def test_stopping_entry_gets_no_request(links, requests):
     links.open['e0'].is_stopping = True
-    requests.add(request('a'))
-    assert sent_steps(links, 'e1') == ['a']
+    requests.add(wanted('a'))
+    assert asked(links, 'e1') == ['a']
 
 
 def test_request_waits_until_an_entry_is_linked(links, requests):
     open_links = dict(links.open)
     links.open.clear()
-    requests.add(request('a'))
+    requests.add(wanted('a'))
     links.open.update(open_links)
     requests.send_waiting()
-    assert sent_steps(links, 'e0') == ['a']
+    assert asked(links, 'e0') == ['a']
 
 
 def test_reconnected_entry_has_no_open_request(links, requests):
-    requests.add(request('a'))
+    requests.add(wanted('a'))
     links.open['e0'] = link.Link('e0', 'dc')
-    requests.add(request('b'))
-    assert sent_steps(links, 'e0') == ['b']
+    requests.add(wanted('b'))
+    assert asked(links, 'e0') == ['b']
 
 
 def test_request_of_a_disconnected_entry_is_sent_to_another(links, requests):
-    requests.add(request('a'))
-    assert sent_steps(links, 'e0') == ['a']
+    requests.add(wanted('a'))
+    assert asked(links, 'e0') == ['a']
     links.open.pop('e0')
     requests.send_waiting()
-    assert sent_steps(links, 'e1') == ['a']
+    assert asked(links, 'e1') == ['a']
--- a/mulberrywalk/replica/assignment_test.py
+++ b/mulberrywalk/replica/assignment_test.py
@@ -229,10 +229,10 @@
         scene.engine.session, reconnected, 700
     )
     sent = anyio.run(reconnected.outbox.take, 0)
-    assignments = [
+    sent_assignments = [
         message for message in sent if isinstance(message, wire.Assignment)
     ]
-    assert cell_test.only(assignments).session == scene.engine.session
+    assert cell_test.only(sent_assignments).session == scene.engine.session
 
 
 def test_targets_can_be_claimed_after_all_entries_disconnect_briefly():
--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -208,8 +208,8 @@
         return raft.step(self.node, node.Proposed((_encoder.encode(events),)))
 
     def _may_propose(self) -> bool:
-        # Events of the start of a term must come first: it starts once all
-        # entries of earlier terms are applied.
+        # The leader starts its term once all entries of earlier terms are
+        # applied, and the events of that start must be the first of the term.
         return self.has_caught_up() and not self._state_machine.has_pending()
 
     async def _carry_out(self, effects: list[node.Effect]) -> None:
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -69,7 +69,7 @@
             logger,
             statuses.meter,
             self._receive,
-            self._introduce,
+            self._send_initial_state,
         )
         self.registry = registry.Registry(replica_engine)
         self._statuses = statuses
@@ -274,10 +274,10 @@
             job = step.split('.', maxsplit=1)[0]
             self._journal.record('first in queue', f'{step} {detail}', job=job)
 
-    def _introduce(self, opened_link: link.Link) -> None:
-        opened_link.send(self._members_changed())
-        opened_link.send(self._configuration_changed())
-        self._journal.record('entry linked', opened_link.process)
+    def _send_initial_state(self, new_link: link.Link) -> None:
+        new_link.send(self._members_changed())
+        new_link.send(self._configuration_changed())
+        self._journal.record('entry linked', new_link.process)
 
     def _configuration_changed(self) -> wire.ConfigurationChanged:
         # Entries do not use the operator's source text of the routing.
--- a/mulberrywalk/replica/lease.py
+++ b/mulberrywalk/replica/lease.py
@@ -82,7 +82,7 @@
         self._sessions[session] = SessionLease(renewed_at)
 
     def is_expiring(self, session: identity.SessionId) -> bool:
-        """Return whether the lease of a session has expired."""
+        """Return whether a lease has expired and its session not yet ended."""
         return session in self._expiring
 
     def entry_of(self, session: identity.SessionId) -> str:
--- a/mulberrywalk/replica/lease_test.py
+++ b/mulberrywalk/replica/lease_test.py
@@ -7,7 +7,7 @@
 EXPIRY_MS = target.LEASE_MS + target.LEASE_MARGIN_MS
 
 
-def test_new_leader_waits_for_a_full_lease():
+def test_new_leader_lets_a_full_lease_pass():
     leases = lease.Leases(now=1000)
     assert not leases.expire([SESSION], 1000 + EXPIRY_MS)
     assert leases.expire([SESSION], 1001 + EXPIRY_MS) == [SESSION]
--- a/mulberrywalk/replica/state_machine.py
+++ b/mulberrywalk/replica/state_machine.py
@@ -83,9 +83,7 @@
         events: list[event.Event] = []
         if entry.kind is message.EntryKind.COMMAND:
             events = _events_decoder.decode(entry.payload)
-        effects = [
-            reducer.reduce(self.tables, new_event)[1] for new_event in events
-        ]
+        effects = [reducer.reduce(self.tables, logged)[1] for logged in events]
         return AppliedEntry(entry, effects)
 
     def _skip_applied(self) -> None:
