--- a/mulberrywalk/core/admission.py
+++ b/mulberrywalk/core/admission.py
@@ -42,7 +42,7 @@
         # Not recorded, because the queue may exist when the request is retried.
         return outcome.NotRun(
             outcome.RefusalReason.UNKNOWN_QUEUE,
-            f'queue {specification.queue} does not exist',
+            f'no queue {specification.queue}',
         )
     if queue is not None:
         specification = _apply_queue(specification, queue)
@@ -76,7 +76,7 @@
     if record is None:
         return outcome.NotRun(
             outcome.RefusalReason.NOT_FOUND,
-            f'job {cancelled.job} does not exist',
+            f'no job {cancelled.job}',
         )
     if record.unfinished and not record.is_cancelled:
         record = msgspec.structs.replace(record, is_cancelled=True)
@@ -117,8 +117,7 @@
     request_id = record.specification.request_id
     return outcome.NotRun(
         outcome.RefusalReason.REQUEST_REUSED,
-        f'request id {request_id} was used for job {record.job} with a'
-        ' different body',
+        f'request id {request_id} belongs to job {record.job}, another body',
     )
 
 
@@ -136,8 +135,7 @@
         return None
     return outcome.NotRun(
         outcome.RefusalReason.QUEUE_FULL,
-        f'{waiting_tasks} tasks of this team and urgency are queued, the limit'
-        f' is {max_queued}',
+        f'{waiting_tasks} tasks of this team and urgency wait, of {max_queued}',
         _RETRY_AFTER_MS,
     )
 
@@ -164,7 +162,7 @@
     if specification.job in tables.jobs:
         return outcome.NotRun(
             outcome.RefusalReason.REQUEST_REUSED,
-            f'job {specification.job} already exists',
+            f'there is a job {specification.job} already',
         )
     fault = workflow.find_field_error(specification)
     if fault is not None:
@@ -182,7 +180,7 @@
         )
     return outcome.NotRun(
         outcome.RefusalReason.REQUEST_REUSED,
-        'the request id was used with a different body, which was refused',
+        'the request id was used for another body, which was refused',
     )
 
 
--- a/mulberrywalk/core/configuration.py
+++ b/mulberrywalk/core/configuration.py
@@ -190,7 +190,7 @@
         queue.name for queue in routing.queues if queue.pool not in pools
     ]
     if without_pool:
-        return f'queue {without_pool[0]} refers to an unknown pool'
+        return f'queue {without_pool[0]} names an unknown pool'
     locations = collections.Counter(
         (queue.host, queue.path_prefix) for queue in routing.queues
     )
@@ -198,7 +198,7 @@
         location for location, count in locations.items() if count > 1
     ]
     if duplicates:
-        return f'two queues share the host and path prefix {duplicates[0]}'
+        return f'two queues share host and prefix {duplicates[0]}'
     without_timeout = [
         queue.name for queue in routing.queues if queue.timeout_ms <= 0
     ]
--- a/mulberrywalk/core/session.py
+++ b/mulberrywalk/core/session.py
@@ -44,7 +44,7 @@
     if _is_superseded(tables, announcement):
         return outcome.NotRun(
             outcome.RefusalReason.SUPERSEDED_LIFE,
-            f'{announcement.target} lost its address to a newer process',
+            f'{announcement.target} has been followed at its address',
         )
     if announcement.ended in tables.sessions:
         end_session(tables, announcement.ended)
--- a/mulberrywalk/core/workflow.py
+++ b/mulberrywalk/core/workflow.py
@@ -48,31 +48,29 @@
 _TASK_CHECKS: tuple[ShapeCheck, ...] = (
     (
         lambda specification: not specification.steps,
-        job.FieldError('steps', 'only a workflow may have steps'),
+        job.FieldError('steps', 'only a workflow has steps'),
     ),
     (
         lambda specification: bool(specification.tasks),
-        job.FieldError('tasks', 'a job must have at least one task'),
+        job.FieldError('tasks', 'a job has at least one task'),
     ),
 )
 _WORKFLOW_CHECKS: tuple[ShapeCheck, ...] = (
     (
         lambda specification: not specification.tasks,
-        job.FieldError('tasks', 'a workflow must have steps, not tasks'),
+        job.FieldError('tasks', 'a workflow has steps and no tasks'),
     ),
     (
         lambda specification: bool(specification.steps),
-        job.FieldError('steps', 'a workflow must have at least one step'),
+        job.FieldError('steps', 'a workflow has at least one step'),
     ),
     (
         lambda specification: specification.is_idempotent,
-        job.FieldError('idempotent', 'a workflow must be idempotent'),
+        job.FieldError('idempotent', 'a workflow is idempotent'),
     ),
     (
         lambda specification: specification.count_tasks() <= job.MAX_TASKS,
-        job.FieldError(
-            'steps', f'a job may have at most {job.MAX_TASKS} tasks'
-        ),
+        job.FieldError('steps', f'a job has at most {job.MAX_TASKS} tasks'),
     ),
 )
 
@@ -96,12 +94,10 @@
 ) -> job.FieldError | None:
     if any(earlier not in range(number) for earlier in step.after):
         return job.FieldError(
-            f'steps[{number}].after', 'a step may only come after earlier steps'
+            f'steps[{number}].after', 'a step comes after earlier ones only'
         )
     if step.is_gang and step.is_lasting:
-        return job.FieldError(
-            f'steps[{number}].gang', 'a gang step cannot be lasting'
-        )
+        return job.FieldError(f'steps[{number}].gang', 'a gang does not last')
     return None
 
 
