--- a/mulberrywalk/entry/adviser.py
+++ b/mulberrywalk/entry/adviser.py
@@ -40,14 +40,14 @@
         self._client = client
         self._leader = leader
         self._event_log = event_log
-        self._queue: collections.deque[wire.AdviceWanted] = collections.deque()
+        self._queue: collections.deque[wire.AdviceRequest] = collections.deque()
         self._available = anyio.Event()
         leader.on_advice_wanted = self.enqueue
 
-    def enqueue(self, wanted: wire.AdviceWanted) -> None:
+    def enqueue(self, wanted: wire.AdviceRequest) -> None:
         """Queue a request, or report it as failed when the queue is full."""
         if len(self._queue) >= _MAX_QUEUE_LENGTH:
-            self._leader.send(wire.Advised(wanted.step, (), (), 0))
+            self._leader.send(wire.AdviceResult(wanted.step, (), (), 0))
             return
         self._queue.append(wanted)
         self._available.set()
@@ -60,7 +60,7 @@
                 await self._available.wait()
             await self._ask(self._queue.popleft())
 
-    async def _ask(self, wanted: wire.AdviceWanted) -> None:
+    async def _ask(self, wanted: wire.AdviceRequest) -> None:
         started_at = clock.monotonic_ms()
         allowed = await self._client.advise(wanted.step, wanted.targets)
         rtt_ms = clock.monotonic_ms() - started_at
@@ -72,4 +72,6 @@
         )
         queried = () if allowed is None else wanted.targets
         # Tickets are valid from the time of the answer, so their age is zero.
-        self._leader.send(wire.Advised(wanted.step, queried, allowed or (), 0))
+        self._leader.send(
+            wire.AdviceResult(wanted.step, queried, allowed or (), 0)
+        )
--- a/mulberrywalk/entry/connection.py
+++ b/mulberrywalk/entry/connection.py
@@ -8,7 +8,7 @@
 
 from ..core import event, identity, job, target
 from ..telemetry import clock, journal
-from ..transport import channel, codec, reading, wire
+from ..transport import channel, codec, decoding, wire
 from . import protocol, session, upstream
 
 _SILENCE_TIMEOUT_S = 2.0
@@ -135,7 +135,7 @@
             raise ProtocolError('that version is not spoken here')
         if self._is_relocating:
             raise ConnectionError('this entry is stopping')
-        self._event_log.clock.witness(hello.clock)
+        self._event_log.clock.observe(hello.clock)
         name = identity.SessionId(hello.resume or '')
         if not name:
             name = await self._open_session(hello)
@@ -169,7 +169,7 @@
     ) -> None:
         while True:
             received = await _receive(socket)
-            self._event_log.clock.witness(received.clock)
+            self._event_log.clock.observe(received.clock)
             self._handle_message(connection, received)
 
     def _handle_message(
@@ -210,7 +210,7 @@
         self, connection: Connection, attempt: str, what: str, timestamp: int
     ) -> None:
         task = attempt.split('/', maxsplit=1)[0]
-        self._event_log.keep(
+        self._event_log.add_line(
             journal.Line(
                 clock=timestamp or self._read_clock(),
                 process=connection.target,
@@ -243,7 +243,7 @@
         text = await _receive_text(socket)
         if len(text) > protocol.MAX_MESSAGE_BYTES:
             raise ProtocolError('the message is too large')
-        with reading.refused_as(ProtocolError):
+        with decoding.translate_errors(ProtocolError):
             return _decoder.decode(text)
     raise ConnectionError(f'nothing heard for {_SILENCE_TIMEOUT_S} s')
 
--- a/mulberrywalk/entry/http_api.py
+++ b/mulberrywalk/entry/http_api.py
@@ -13,7 +13,7 @@
 
 from ..core import identity, job, workflow
 from ..telemetry import journal, metric
-from ..transport import channel, codec, reading, wire
+from ..transport import channel, codec, decoding, wire
 from . import connection, http_response, upstream
 
 MAX_BODY_BYTES = 4_194_304
@@ -193,13 +193,13 @@
     ) -> responses.Response:
         """Return the merged timeline of this entry and all replicas."""
         try:
-            with reading.refused_as():
+            with decoding.translate_errors():
                 line_filter = msgspec.convert(
                     dict(request.query_params),
                     type=journal.Filter,
                     strict=False,
                 )
-        except reading.UnreadableError as error:
+        except decoding.MalformedMessageError as error:
             return http_response.respond_error(
                 http_response.decoding_error(error)
             )
@@ -289,9 +289,9 @@
 ) -> Body | http_response.InputError:
     """Return the decoded body, or an error naming the invalid field."""
     try:
-        with reading.refused_as():
+        with decoding.translate_errors():
             return msgspec.json.decode(encoded, type=body_type)
-    except reading.UnreadableError as error:
+    except decoding.MalformedMessageError as error:
         return http_response.decoding_error(error)
 
 
@@ -301,7 +301,7 @@
     patch = decode(encoded, ConfigurationPatch)
     if isinstance(patch, http_response.InputError):
         return patch
-    fault = reading.find_fault(patch.changes)
+    fault = decoding.find_encoding_error(patch.changes)
     if fault:
         return http_response.InputError(_BAD_REQUEST, 'changes', fault)
     return patch
@@ -338,8 +338,8 @@
 ) -> tuple[journal.Line, ...] | None:
     encoded = msgspec.msgpack.encode(wire.TimelineRequest(line_filter))
     try:
-        with anyio.fail_after(channel.SILENCE_S):
-            reply = await channel.ask(
+        with anyio.fail_after(channel.TIMEOUT_S):
+            reply = await channel.call_decoded(
                 address, channel.TIMELINE, encoded, wire.TimelineReply
             )
     except (ConnectionError, TimeoutError):
--- a/mulberrywalk/entry/polled_test.py
+++ b/mulberrywalk/entry/polled_test.py
@@ -514,7 +514,7 @@
 
     async def scenario(targets, leader, sessions):
         targets.assign(assignment())
-        leader.target_handlers.end(wire.Gone((SESSION,)))
+        leader.target_handlers.end(wire.EndedSessions((SESSION,)))
         await anyio.sleep(0.1)
 
     run_targets(target, scenario)
--- a/mulberrywalk/entry/program.py
+++ b/mulberrywalk/entry/program.py
@@ -85,7 +85,7 @@
             '--drain-limit-ms', drain_limit_ms, 0, _MAX_DURATION_MS
         ),
     )
-    checker.finish()
+    checker.exit_on_errors()
     journal.open_log(is_json=settings.log_format == 'json')
     try:
         anyio.run(serve, settings, backend='asyncio')
--- a/mulberrywalk/entry/session.py
+++ b/mulberrywalk/entry/session.py
@@ -107,13 +107,13 @@
         if target_session is not None:
             target_session.command(commands)
 
-    def _renew(self, renewed: wire.Renewed) -> None:
+    def _renew(self, renewed: wire.RenewedSessions) -> None:
         for name, sequence in renewed.sessions:
             target_session = self.open.get(name)
             if target_session is not None:
                 target_session.renew(sequence)
 
-    def _end(self, gone: wire.Gone) -> None:
+    def _end(self, gone: wire.EndedSessions) -> None:
         for name in gone.sessions:
             target_session = self.open.get(name)
             if target_session is not None:
--- a/mulberrywalk/entry/upstream.py
+++ b/mulberrywalk/entry/upstream.py
@@ -43,8 +43,8 @@
 
     list_polled: Callable[[], tuple[identity.SessionId, ...]]
     command: Callable[[wire.Commands], None]
-    renew: Callable[[wire.Renewed], None]
-    end: Callable[[wire.Gone], None]
+    renew: Callable[[wire.RenewedSessions], None]
+    end: Callable[[wire.EndedSessions], None]
 
 
 class Upstream:
@@ -64,7 +64,9 @@
         current after the leader last confirmed it.
         """
         self.on_assignment: Callable[[wire.Assignment], None] | None = None
-        self.on_advice_wanted: Callable[[wire.AdviceWanted], None] | None = None
+        self.on_advice_wanted: Callable[[wire.AdviceRequest], None] | None = (
+            None
+        )
         self.is_stopping = False
         self._configuration_max_age_ms = configuration_max_age_ms
         self.configuration: configuration.Configuration | None = None
@@ -81,11 +83,11 @@
                 {
                     wire.Redirect: self._handle_redirect,
                     wire.Reply: self._calls.complete,
-                    wire.LeaderPulse: self._handle_pulse,
+                    wire.LeaderHeartbeat: self._handle_pulse,
                     wire.ConfigurationChanged: self._handle_configuration,
                     wire.MembersChanged: self._handle_members,
                     wire.Assignment: self._handle_assignment,
-                    wire.AdviceWanted: self._handle_advice_wanted,
+                    wire.AdviceRequest: self._handle_advice_wanted,
                 }
             )
         )
@@ -165,7 +167,7 @@
             self._is_connected = True
             if self.target_handlers is not None:
                 self._outbox.put(
-                    wire.Carried(self.target_handlers.list_polled())
+                    wire.PolledSessions(self.target_handlers.list_polled())
                 )
             for message in self._calls.unanswered():
                 self._outbox.put(message)
@@ -177,21 +179,21 @@
         messages: tuple[wire.FromEntry, ...] = ()
         while True:
             await stream.send(self._batch((*messages, self._pulse())))
-            queued = await self._outbox.take(channel.PULSE_S)
+            queued = await self._outbox.take(channel.HEARTBEAT_INTERVAL_S)
             messages = tuple(filter(self._calls.mark_sent, queued))
 
     async def _read(self, stream: LeaderStream) -> None:
         while True:
             batch = await stream.receive()
-            self._event_log.clock.witness(batch.clock)
+            self._event_log.clock.observe(batch.clock)
             for message in batch.messages:
                 self._receive(message)
 
-    def _pulse(self) -> wire.EntryPulse:
+    def _pulse(self) -> wire.EntryHeartbeat:
         current = self.configuration
         version = current.version if current else 0
         now = clock.monotonic_ms()
-        return wire.EntryPulse(
+        return wire.EntryHeartbeat(
             version, now, self._meter.read(), self.is_stopping
         )
 
@@ -223,11 +225,11 @@
         if self.on_assignment is not None:
             self.on_assignment(assigned)
 
-    def _handle_advice_wanted(self, wanted: wire.AdviceWanted) -> None:
+    def _handle_advice_wanted(self, wanted: wire.AdviceRequest) -> None:
         if self.on_advice_wanted is not None:
             self.on_advice_wanted(wanted)
 
-    def _handle_pulse(self, pulse: wire.LeaderPulse) -> None:
+    def _handle_pulse(self, pulse: wire.LeaderHeartbeat) -> None:
         current = self.configuration
         if current is not None and current.version == pulse.version:
             self._confirmed_at = max(self._confirmed_at, pulse.echo)
@@ -257,7 +259,7 @@
 ) -> None:
     if isinstance(message, wire.Commands):
         target_handlers.command(message)
-    elif isinstance(message, wire.Renewed):
+    elif isinstance(message, wire.RenewedSessions):
         target_handlers.renew(message)
-    elif isinstance(message, wire.Gone):
+    elif isinstance(message, wire.EndedSessions):
         target_handlers.end(message)
--- a/mulberrywalk/platform/entry.py
+++ b/mulberrywalk/platform/entry.py
@@ -42,7 +42,7 @@
         async def show_metrics(
             scope: dict[str, Any], receive: http.Receive, send: http.Send
         ) -> None:
-            await http.write_text(send, parts.metrics.show())
+            await http.write_text(send, parts.metrics.render())
 
         by_port = {own_port: application, http.METRICS_PORT: show_metrics}
 
--- a/mulberrywalk/platform/replica.py
+++ b/mulberrywalk/platform/replica.py
@@ -45,7 +45,7 @@
             if scope['type'] == 'lifespan':
                 await http.accept_lifespan(receive, send)
             elif scope['server'][1] == http.METRICS_PORT:
-                await http.write_text(send, parts.metrics.show())
+                await http.write_text(send, parts.metrics.render())
             elif scope['type'] == 'http':
                 await answering.serve(scope, receive, send)
 
--- a/mulberrywalk/platform/setting.py
+++ b/mulberrywalk/platform/setting.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..transport import reading
+from ..transport import decoding
 from . import bound, http
 
 PATH_VARIABLE = 'MULBERRYWALK_CONFIG'
@@ -101,7 +101,7 @@
         encoded = path.read_bytes()
     except OSError as error:
         raise SettingsError(str(error)) from error
-    with reading.refused_as(SettingsError):
+    with decoding.translate_errors(SettingsError):
         return msgspec.json.decode(encoded, type=Settings)
 
 
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -10,7 +10,7 @@
 from ..core import configuration, event, identity, job, resource
 from ..entry import target_client
 from ..replica import registry
-from ..transport import reading
+from ..transport import decoding
 from . import bound
 
 _PERCENT = 100
@@ -190,7 +190,7 @@
 
 def read_routing(body: bytes) -> configuration.Routing:
     """Return the routing of a configuration; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         read = _configurations.decode(body)
         return configuration.Routing(
             version=read.version,
@@ -208,7 +208,7 @@
     body: bytes, name: str, queue: configuration.Queue
 ) -> job.Specification:
     """Return the specification of a job for a queue; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         read = _jobs.decode(body)
         steps = tuple(_step_of(phase) for phase in read.phases)
         fields = {
@@ -233,7 +233,7 @@
     name: str, body: bytes, lease_ms: int
 ) -> registry.TargetHeartbeat:
     """Return what a worker says of itself; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         return _sighting_of(name, _heartbeats.decode(body), lease_ms)
 
 
@@ -278,7 +278,7 @@
 
 def read_listing(body: bytes) -> target_client.PollResult:
     """Return what a worker lists; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         read = _listings.decode(body)
         running = tuple(_running_of(row) for row in read.running)
         ended = tuple(_ended_of(row) for row in read.finished)
@@ -290,7 +290,7 @@
 def read_refusal(body: bytes) -> target_client.CallResult:
     """Return why a worker refuses an order."""
     try:
-        with reading.refused_as(WireError):
+        with decoding.translate_errors(WireError):
             read = _refusals.decode(body)
     except WireError:
         return target_client.CallResult.INVALID
@@ -299,7 +299,7 @@
 
 def read_tickets(body: bytes) -> tuple[tuple[identity.TargetId, str], ...]:
     """Return the workers that the adviser allows; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         read = _advised.decode(body)
     rows = (
         (row.id, row.ticket) if isinstance(row, Ticket) else row
--- a/mulberrywalk/replica/absence_monitor_test.py
+++ b/mulberrywalk/replica/absence_monitor_test.py
@@ -55,7 +55,9 @@
         return self.lines.find(journal.Filter())[known:]
 
     def gauges(self):
-        shown = dict(line.split() for line in self.metrics.show().splitlines())
+        shown = dict(
+            line.split() for line in self.metrics.render().splitlines()
+        )
         names = ('', '_with_room', '_longest_ms')
         return [int(shown[f'lasting_absent{name}']) for name in names]
 
--- a/mulberrywalk/replica/advice_queue.py
+++ b/mulberrywalk/replica/advice_queue.py
@@ -68,7 +68,7 @@
         self._waiting.pop(wanted.step)
         until = now + wanted.expected_ms + _PATIENCE_MS
         self._open[wanted.step] = OpenRequest(wanted, chosen, until)
-        chosen.send(wire.AdviceWanted(wanted.step, wanted.targets))
+        chosen.send(wire.AdviceRequest(wanted.step, wanted.targets))
 
     def _choose(self, wanted: effect.AskAdvice) -> link.Link | None:
         entries = [
--- a/mulberrywalk/replica/advice_queue_test.py
+++ b/mulberrywalk/replica/advice_queue_test.py
@@ -32,7 +32,7 @@
 
 def asked(links, name):
     sent = anyio.run(links.open[name].outbox.take, 0)
-    return [one.step for one in sent if isinstance(one, wire.AdviceWanted)]
+    return [one.step for one in sent if isinstance(one, wire.AdviceRequest)]
 
 
 def test_an_entry_asks_one_question_at_a_time(links, questions):
--- a/mulberrywalk/replica/assignment.py
+++ b/mulberrywalk/replica/assignment.py
@@ -169,7 +169,7 @@
         self._assigned_at[session.session] = now
         before = self._leases.entry_of(session.session)
         if before != entry.process:
-            self._links.send(before, wire.Gone((session.session,)))
+            self._links.send(before, wire.EndedSessions((session.session,)))
         self._leases.assign(session.session, entry.process)
         entry.send(self._message(session))
         self._delivery.resend_session(session.session, now)
--- a/mulberrywalk/replica/assignment_test.py
+++ b/mulberrywalk/replica/assignment_test.py
@@ -129,8 +129,8 @@
     scene.entries[1].is_stopping = False
     assert scene.rebalance(4000) == 'e1'
     sent = anyio.run(scene.entries[0].outbox.take, 0)
-    gone = [one for one in sent if isinstance(one, wire.Gone)]
-    assert gone == [wire.Gone((scene.engine.session,))]
+    gone = [one for one in sent if isinstance(one, wire.EndedSessions)]
+    assert gone == [wire.EndedSessions((scene.engine.session,))]
 
 
 def test_only_the_assigned_entry_may_renew():
--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -21,7 +21,7 @@
 from ..core import effect, event, outcome, snapshot, state
 from ..storage import disk as storage
 from ..telemetry import clock, journal
-from ..transport import reading
+from ..transport import decoding
 from . import proposal, state_machine
 
 TICK_INTERVAL_S = 0.03
@@ -116,7 +116,7 @@
         """
         try:
             written = state_machine.encode_event(occurred)
-        except reading.UnreadableError as error:
+        except decoding.MalformedMessageError as error:
             kind = type(occurred).__name__
             self._journal.record('event refused', f'{kind}: {error}')
             reason = outcome.RefusalReason.INVALID_EVENT
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -305,7 +305,7 @@
 
     def _end_session(self, effected: effect.EndSession) -> None:
         entry = self._leases.entry_of(effected.session)
-        self.links.send(entry, wire.Gone((effected.session,)))
+        self.links.send(entry, wire.EndedSessions((effected.session,)))
         self._leases.remove(effected.session)
 
     def _report_job_end(self, effected: effect.ReportJobEnd) -> None:
--- a/mulberrywalk/replica/link.py
+++ b/mulberrywalk/replica/link.py
@@ -100,14 +100,14 @@
     ) -> None:
         batch = first
         while True:
-            self._journal.clock.witness(batch.clock)
+            self._journal.clock.observe(batch.clock)
             for message in batch.messages:
                 self._received(link, message)
             batch = await stream.receive()
 
     async def _write(self, stream: EntryStream, link: Link) -> None:
         while True:
-            messages = await link.outbox.take(channel.PULSE_S)
+            messages = await link.outbox.take(channel.HEARTBEAT_INTERVAL_S)
             if not self._engine.is_serving():
                 await self._redirect(stream)
                 raise ConnectionError('this replica leads no more')
@@ -116,7 +116,7 @@
                 self._batch(
                     (
                         *messages,
-                        wire.LeaderPulse(version, link.pulse_sent_at),
+                        wire.LeaderHeartbeat(version, link.pulse_sent_at),
                     )
                 )
             )
--- a/mulberrywalk/replica/message_handler.py
+++ b/mulberrywalk/replica/message_handler.py
@@ -49,11 +49,11 @@
                 {
                     wire.Call: self._take_call,
                     wire.Renewals: self._renew,
-                    wire.Carried: self._keep_carried,
+                    wire.PolledSessions: self._keep_carried,
                     wire.Report: self._propose_report,
                     wire.Departure: self._take_departure,
-                    wire.Advised: self._take_advice,
-                    wire.EntryPulse: self._take_pulse,
+                    wire.AdviceResult: self._take_advice,
+                    wire.EntryHeartbeat: self._take_pulse,
                 }
             )
         )
@@ -73,13 +73,17 @@
             proposal.ignore_outcome,
         )
 
-    def _take_pulse(self, origin: link.Link, received: wire.EntryPulse) -> None:
+    def _take_pulse(
+        self, origin: link.Link, received: wire.EntryHeartbeat
+    ) -> None:
         origin.is_stopping = received.is_stopping
         origin.version = received.version
         origin.pulse_sent_at = received.sent_at
         origin.cost = received.cost
 
-    def _take_advice(self, origin: link.Link, received: wire.Advised) -> None:
+    def _take_advice(
+        self, origin: link.Link, received: wire.AdviceResult
+    ) -> None:
         self._components.advice_queue.complete(received.step)
         self._engine.propose(
             event.AdviceReceived(
@@ -105,11 +109,13 @@
                 if leases.renew(session, origin.process, now):
                     self._components.delivery.resend_session(session, now)
         if renewed:
-            origin.send(wire.Renewed(tuple(renewed)))
+            origin.send(wire.RenewedSessions(tuple(renewed)))
         if gone:
-            origin.send(wire.Gone(tuple(gone)))
+            origin.send(wire.EndedSessions(tuple(gone)))
 
-    def _keep_carried(self, origin: link.Link, received: wire.Carried) -> None:
+    def _keep_carried(
+        self, origin: link.Link, received: wire.PolledSessions
+    ) -> None:
         now = clock.monotonic_ms()
         assignments = self._components.assignments
         gone = tuple(
@@ -118,7 +124,7 @@
             if not assignments.accept_claim(session, origin, now)
         )
         if gone:
-            origin.send(wire.Gone(gone))
+            origin.send(wire.EndedSessions(gone))
         assignments.resend_missing(origin, received.sessions, now)
 
     def _may_renew(self, session: identity.SessionId, now: int) -> bool:
@@ -168,7 +174,7 @@
 
         def tell(told: outcome.Outcome | None) -> None:
             if isinstance(told, outcome.NotRun):
-                origin.send(wire.Gone((received.session,)))
+                origin.send(wire.EndedSessions((received.session,)))
 
         self._engine.propose(
             event.ReportReceived(
--- a/mulberrywalk/replica/peer.py
+++ b/mulberrywalk/replica/peer.py
@@ -80,7 +80,7 @@
         try:
             while True:
                 batch = await stream.receive()
-                self._journal.clock.witness(batch.clock)
+                self._journal.clock.observe(batch.clock)
                 for body in batch.messages:
                     self._engine.enqueue(node.Received(batch.sender, body))
                 await stream.send(self._reply())
@@ -105,10 +105,10 @@
                 dialled, channel.PEER, wire.PeerBatch, self._statuses.meter
             )
             while True:
-                taken = await outbox.take(channel.PULSE_S)
+                taken = await outbox.take(channel.HEARTBEAT_INTERVAL_S)
                 await stream.send(self._batch(taken))
                 reply = await stream.receive()
-                self._journal.clock.witness(reply.clock)
+                self._journal.clock.observe(reply.clock)
                 self._statuses.update(member.identity, reply.status)
 
     def _reply(self) -> wire.PeerBatch:
--- a/mulberrywalk/replica/program.py
+++ b/mulberrywalk/replica/program.py
@@ -68,7 +68,7 @@
     )
     if name not in {member.identity for member in members}:
         checker.errors.append(f'--name: {name!r} is not among the founders')
-    checker.finish()
+    checker.exit_on_errors()
     try:
         storage.found(pathlib.Path(folder), message.Membership(members), name)
     except storage.StorageError as error:
@@ -125,7 +125,7 @@
             '--snapshot-entries', snapshot_entries, 10, _MOST_ENTRIES
         ),
     )
-    checker.finish()
+    checker.exit_on_errors()
     journal.open_log(is_json=checked.log_format == 'json')
     try:
         anyio.run(serve, checked, backend='asyncio')
@@ -295,7 +295,9 @@
 async def _ask_to_join(address: str, encoded: bytes) -> wire.JoinReply:
     """Ask a replica to be admitted; one that is silent tells nothing."""
     try:
-        return await channel.ask(address, channel.JOIN, encoded, wire.JoinReply)
+        return await channel.call_decoded(
+            address, channel.JOIN, encoded, wire.JoinReply
+        )
     except ConnectionError:
         return wire.JoinReply(is_admitted=False, leader='')
 
--- a/mulberrywalk/replica/state_machine.py
+++ b/mulberrywalk/replica/state_machine.py
@@ -14,7 +14,7 @@
 
 from ..consensus import message
 from ..core import effect, event, outcome, reducer, snapshot, state
-from ..transport import reading
+from ..transport import decoding
 
 _events_decoder = msgspec.msgpack.Decoder(list[event.Event])
 _event_decoder = msgspec.msgpack.Decoder(event.Event)
@@ -24,10 +24,10 @@
 def encode_event(occurred: event.Event) -> msgspec.Raw:
     """Return an event as it stands in the log.
 
-    Raises UnreadableError when the log cannot hold it, or when no replica
+    Raises MalformedMessageError when the log cannot hold it, or when no replica
     could read it there: it would end each of them, at each start again.
     """
-    with reading.refused_as():
+    with decoding.translate_errors():
         written = _encoder.encode(occurred)
         _event_decoder.decode(written)
     return msgspec.Raw(written)
--- a/mulberrywalk/telemetry/clock.py
+++ b/mulberrywalk/telemetry/clock.py
@@ -6,9 +6,9 @@
 
 _COUNTER_BITS = 16
 _NANOSECONDS_PER_MS = 1_000_000
-_SLEW = 0.1
+_MAX_SLEW_RATE = 0.1
 # A stamp that is further ahead of the wall clock is of no clock: one day.
-_MOST_AHEAD_MS = 86_400_000
+_MAX_AHEAD_MS = 86_400_000
 
 
 def monotonic_ms() -> int:
@@ -44,7 +44,7 @@
         passed = now - self._read_at
         self._read_at = now
         self._shown += passed
-        most = passed * _SLEW
+        most = passed * _MAX_SLEW_RATE
         offset = wall_ms() - self._shown
         self._shown += max(-most, min(most, offset))
         return int(self._shown)
@@ -74,13 +74,13 @@
         self._latest = max(self._latest + 1, wall)
         return self._latest
 
-    def witness(self, stamp: int) -> None:
+    def observe(self, stamp: int) -> None:
         """Take note of a stamp that another process has sent.
 
         One that is out of all proportion would be handed on to every process,
         and none of them would ever show the time again.
         """
-        if wall_of(stamp) <= wall_ms() + _MOST_AHEAD_MS:
+        if wall_of(stamp) <= wall_ms() + _MAX_AHEAD_MS:
             self._latest = max(self._latest, stamp)
 
 
--- a/mulberrywalk/telemetry/clock_test.py
+++ b/mulberrywalk/telemetry/clock_test.py
@@ -61,11 +61,11 @@
 @pytest.mark.parametrize('stamp', [2**62, 2**64 - 1, 10**40])
 def test_stamp_of_another_age_does_not_carry_the_clock_away(stamp):
     hybrid = clock.HybridClock()
-    hybrid.witness(stamp)
+    hybrid.observe(stamp)
     assert abs(clock.wall_of(hybrid.read()) - clock.wall_ms()) < 1000
 
 
 def test_stamp_that_is_hours_ahead_is_followed():
     hybrid, ahead = clock.HybridClock(), clock.wall_ms() + 3_600_000
-    hybrid.witness(ahead << 16)
+    hybrid.observe(ahead << 16)
     assert hybrid.read() > ahead << 16
--- a/mulberrywalk/telemetry/journal.py
+++ b/mulberrywalk/telemetry/journal.py
@@ -15,13 +15,13 @@
 
 from . import clock
 
-_KEPT = 50_000
+_MAX_LINES = 50_000
 _MS_PER_S = 1000
 # Lines of one kind that a process writes in a second.
 _LINES_PER_SECOND = 200
 # The last millisecond of the year 9999, counted from 1970.
-_LAST_MS = 253_402_300_799_999
-_TIME = msgspec.Meta(ge=0, le=_LAST_MS)
+_MAX_TIME_MS = 253_402_300_799_999
+_TIME = msgspec.Meta(ge=0, le=_MAX_TIME_MS)
 
 
 class Line(msgspec.Struct, frozen=True):
@@ -59,7 +59,7 @@
     data_centre: str
 
 
-class Rates:
+class LineRateLimiter:
     """Bounds the log lines of each kind, and counts those left out."""
 
     def __init__(self) -> None:
@@ -68,7 +68,7 @@
         self._written: collections.Counter[str] = collections.Counter()
         self._left_out: collections.Counter[str] = collections.Counter()
 
-    def count(self, kind: str, now: int) -> int | None:
+    def admit(self, kind: str, now: int) -> int | None:
         """Return how many of a kind were left out before, or None to omit.
 
         now is a monotonic time in milliseconds.
@@ -83,7 +83,7 @@
         return self._left_out.pop(kind, 0)
 
 
-class Output:
+class NonBlockingOutput:
     """Standard output that drops a line rather than wait for its reader."""
 
     def __init__(self) -> None:
@@ -104,8 +104,10 @@
         """Start empty; the log names the origin on each line."""
         self.origin = origin
         self.clock = clock.HybridClock()
-        self._lines: collections.deque[Line] = collections.deque(maxlen=_KEPT)
-        self._rates = Rates()
+        self._lines: collections.deque[Line] = collections.deque(
+            maxlen=_MAX_LINES
+        )
+        self._rate_limiter = LineRateLimiter()
         self._logger = loguru.logger.bind(
             process=origin.process,
             data_centre=origin.data_centre,
@@ -123,12 +125,12 @@
             detail=detail,
             **ids,
         )
-        self.keep(line)
+        self.add_line(line)
 
-    def keep(self, line: Line) -> None:
+    def add_line(self, line: Line) -> None:
         """Add a line as it is, also one that a target has sent."""
         self._lines.append(line)
-        left_out = self._rates.count(line.what, clock.monotonic_ms())
+        left_out = self._rate_limiter.admit(line.what, clock.monotonic_ms())
         if left_out is None:
             return
         message = f'{line.what} {line.detail}'.strip()
@@ -140,7 +142,7 @@
         Lines are bounded by what they are about; the detail may be a text of
         others.
         """
-        left_out = self._rates.count(what, clock.monotonic_ms())
+        left_out = self._rate_limiter.admit(what, clock.monotonic_ms())
         if left_out is not None:
             message = f'{what}: {detail}' if detail else what
             self._logger.bind(left_out=left_out).warning(message)
@@ -164,7 +166,7 @@
     """Send the log of this process to standard output."""
     loguru.logger.remove()
     form = _format_json if is_json else _format_text
-    loguru.logger.add(Output(), format=form, catch=False)
+    loguru.logger.add(NonBlockingOutput(), format=form, catch=False)
 
 
 def _format_json(record: Any) -> str:
--- a/mulberrywalk/telemetry/journal_test.py
+++ b/mulberrywalk/telemetry/journal_test.py
@@ -16,7 +16,7 @@
     monkeypatch.setattr(clock, 'wall_ms', lambda: 5000)
     stamp = ahead.read()
     monkeypatch.setattr(clock, 'wall_ms', lambda: 10)
-    behind.witness(stamp)
+    behind.observe(stamp)
     assert behind.read() > stamp
 
 
--- a/mulberrywalk/telemetry/metric.py
+++ b/mulberrywalk/telemetry/metric.py
@@ -8,9 +8,9 @@
 import statsd
 from hdrh import histogram
 
-_LOWEST_MS = 1
-_HIGHEST_MS = 3_600_000
-_DIGITS = 2
+_MIN_DURATION_MS = 1
+_MAX_DURATION_MS = 3_600_000
+_SIGNIFICANT_DIGITS = 2
 _PERCENTILES = (50, 90, 99, 99.9)
 
 
@@ -76,12 +76,12 @@
         """Record a duration in milliseconds."""
         if stat not in self._timings:
             self._timings[stat] = histogram.HdrHistogram(
-                _LOWEST_MS, _HIGHEST_MS, _DIGITS
+                _MIN_DURATION_MS, _MAX_DURATION_MS, _SIGNIFICANT_DIGITS
             )
-        self._timings[stat].record_value(int(max(_LOWEST_MS, delta)))
+        self._timings[stat].record_value(int(max(_MIN_DURATION_MS, delta)))
         self._passed_on.timing(stat, delta)
 
-    def show(self) -> str:
+    def render(self) -> str:
         """Return one line for each counter, gauge and percentile."""
         counters = [
             f'{stat}_total {count}' for stat, count in self._counters.items()
@@ -90,13 +90,13 @@
         timings = [
             line
             for stat, kept in self._timings.items()
-            for line in _show_timing(stat, kept)
+            for line in _render_timing(stat, kept)
         ]
         lines = sorted((*counters, *gauges, *timings))
         return ''.join(f'{line}\n' for line in lines)
 
 
-def _show_timing(stat: str, kept: histogram.HdrHistogram) -> list[str]:
+def _render_timing(stat: str, kept: histogram.HdrHistogram) -> list[str]:
     percentiles = [
         f'{stat}_ms{{percentile="{part}"}} {kept.get_value_at_percentile(part)}'
         for part in _PERCENTILES
--- a/mulberrywalk/telemetry/setting.py
+++ b/mulberrywalk/telemetry/setting.py
@@ -11,7 +11,7 @@
 
 _ADDRESS = re.compile(r'^[0-9A-Za-z.:\[\]-]+:\d{1,5}$')
 _NAME = re.compile(r'^[A-Za-z0-9._-]{1,64}$')
-_LAST_PORT = 65_535
+_MAX_PORT = 65_535
 EXIT_USAGE = 2
 
 
@@ -57,7 +57,7 @@
             self.errors.append(f'{flag}: {text!r} is not one of {listed}')
         return text
 
-    def finish(self) -> None:
+    def exit_on_errors(self) -> None:
         """Report all errors and leave the program if there are any."""
         if not self.errors:
             return
@@ -80,7 +80,7 @@
     """Return whether a text is host:port."""
     if not _ADDRESS.match(text):
         return False
-    return 0 < int(text.rpartition(':')[2]) <= _LAST_PORT
+    return 0 < int(text.rpartition(':')[2]) <= _MAX_PORT
 
 
 def is_name(text: str) -> bool:
--- a/mulberrywalk/telemetry/setting_test.py
+++ b/mulberrywalk/telemetry/setting_test.py
@@ -13,7 +13,7 @@
     checker.number('--voters', '99', 1, 9)
     checker.addresses('--replicas', '')
     with pytest.raises(typer.Exit):
-        checker.finish()
+        checker.exit_on_errors()
     reported = capsys.readouterr().err.splitlines()
     assert [line.split(':')[0] for line in reported] == [
         '--name',
@@ -28,4 +28,4 @@
     assert checker.address('--listen', '127.0.0.1:80') == '127.0.0.1:80'
     assert checker.optional_address('--statsd', '') == ''
     assert checker.number('--voters', '3', 1, 9) == 3
-    checker.finish()
+    checker.exit_on_errors()
--- a/mulberrywalk/transport/channel.py
+++ b/mulberrywalk/transport/channel.py
@@ -13,21 +13,21 @@
 import msgspec
 
 from ..telemetry import cost
-from . import reading
+from . import decoding
 
-SILENCE_S = 1.0
-PULSE_S = 0.25
-GATHER_S = 0.002
-MESSAGE_BYTES = 268_435_456
+TIMEOUT_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.25
+BATCH_DELAY_S = 0.002
+MAX_MESSAGE_BYTES = 268_435_456
 SERVICE = 'mulberrywalk.Replica'
 PEER = 'Peer'
 LINK = 'Link'
 JOIN = 'Join'
 TIMELINE = 'Timeline'
 
-OPTIONS = (
-    ('grpc.max_send_message_length', MESSAGE_BYTES),
-    ('grpc.max_receive_message_length', MESSAGE_BYTES),
+CHANNEL_OPTIONS = (
+    ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
+    ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
     # A channel of its own connection: a new one must not inherit a
     # connection that has gone silent.
     ('grpc.use_local_subchannel_pool', 1),
@@ -38,7 +38,7 @@
 )
 
 # What a stream raises once its other end is gone.
-_BROKEN = (
+_STREAM_ERRORS = (
     grpc.RpcError,
     grpc.aio.UsageError,
     asyncio.InvalidStateError,
@@ -46,19 +46,19 @@
 )
 
 Sent = TypeVar('Sent')
-Got = TypeVar('Got')
-Method = Callable[[bytes], Awaitable[bytes]]
-StreamMethod = Callable[[Any], Awaitable[None]]
+Received = TypeVar('Received')
+CallHandler = Callable[[bytes], Awaitable[bytes]]
+StreamHandler = Callable[[Any], Awaitable[None]]
 
 
 class Outbox(Generic[Sent]):
     """Messages that wait to be sent in one batch, bounded in number."""
 
     def __init__(
-        self, limit: int = 100_000, gather_s: float = GATHER_S
+        self, limit: int = 100_000, batch_delay_s: float = BATCH_DELAY_S
     ) -> None:
-        """Start empty; what comes within gather_s leaves together."""
-        self._gather_s = gather_s
+        """Start empty; what comes within batch_delay_s leaves together."""
+        self._batch_delay_s = batch_delay_s
         self._messages: collections.deque[Sent] = collections.deque(
             maxlen=limit
         )
@@ -74,18 +74,18 @@
         if not self._messages:
             with anyio.move_on_after(seconds):
                 await self._filled.wait()
-                await anyio.sleep(self._gather_s)
+                await anyio.sleep(self._batch_delay_s)
         self._filled = anyio.Event()
         taken = tuple(self._messages)
         self._messages.clear()
         return taken
 
 
-class Stream(Generic[Sent, Got]):
+class Stream(Generic[Sent, Received]):
     """One open gRPC stream, either end of it."""
 
     def __init__(
-        self, raw: Any, received: type[Got], meter: cost.Meter
+        self, raw: Any, received: type[Received], meter: cost.Meter
     ) -> None:
         """Wrap a gRPC call or servicer context with read and write."""
         self._raw = raw
@@ -95,60 +95,60 @@
 
     async def send(self, batch: Sent) -> None:
         """Send one batch; raises ConnectionError when it cannot leave."""
-        with reading.refused_as(ConnectionError):
+        with decoding.translate_errors(ConnectionError):
             encoded = self._encoder.encode(batch)
         self._meter.count_sent(len(encoded))
-        with anyio.move_on_after(SILENCE_S):
+        with anyio.move_on_after(TIMEOUT_S):
             try:
                 await self._raw.write(encoded)
-            except _BROKEN as error:
+            except _STREAM_ERRORS as error:
                 raise ConnectionError(str(error)) from error
             return
-        raise ConnectionError(f'nothing left for {SILENCE_S} s')
+        raise ConnectionError(f'nothing left for {TIMEOUT_S} s')
 
-    async def receive(self) -> Got:
+    async def receive(self) -> Received:
         """Return the next batch.
 
         Raises ConnectionError on silence, and when it cannot be read.
         """
-        with anyio.move_on_after(SILENCE_S):
+        with anyio.move_on_after(TIMEOUT_S):
             try:
                 encoded = await self._raw.read()
-            except _BROKEN as error:
+            except _STREAM_ERRORS as error:
                 raise ConnectionError(str(error)) from error
             if encoded is grpc.aio.EOF:
                 raise ConnectionError('the other end has closed the stream')
             self._meter.count_received(len(encoded))
-            with reading.refused_as(ConnectionError):
+            with decoding.translate_errors(ConnectionError):
                 return self._decoder.decode(encoded)
-        raise ConnectionError(f'nothing heard for {SILENCE_S} s')
+        raise ConnectionError(f'nothing heard for {TIMEOUT_S} s')
 
 
 def dial(address: str) -> grpc.aio.Channel:
     """Return a channel with a connection of its own."""
-    return grpc.aio.insecure_channel(address, options=OPTIONS)
+    return grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
 
 
 def open_stream(
     channel: grpc.aio.Channel,
     method: str,
-    received: type[Got],
+    received: type[Received],
     meter: cost.Meter,
-) -> Stream[Any, Got]:
+) -> Stream[Any, Received]:
     """Return a stream of a replica's method."""
     call = channel.stream_stream(f'/{SERVICE}/{method}')()
     return Stream(call, received, meter)
 
 
-async def ask(
-    address: str, method: str, encoded: bytes, answer: type[Got]
-) -> Got:
+async def call_decoded(
+    address: str, method: str, encoded: bytes, answer: type[Received]
+) -> Received:
     """Return the answer of a method that is called once.
 
     Raises ConnectionError when the call fails or the answer is unreadable.
     """
     answered = await call(address, method, encoded)
-    with reading.refused_as(ConnectionError):
+    with decoding.translate_errors(ConnectionError):
         return msgspec.msgpack.decode(answered, type=answer)
 
 
@@ -157,7 +157,7 @@
     async with dial(address) as channel:
         asked = channel.unary_unary(f'/{SERVICE}/{method}')
         try:
-            answered: bytes = await asked(encoded, timeout=SILENCE_S)
+            answered: bytes = await asked(encoded, timeout=TIMEOUT_S)
         except grpc.RpcError as error:
             raise ConnectionError(f'{address}: {error.code()}') from error
     return answered
@@ -169,12 +169,12 @@
     def __init__(self, address: str) -> None:
         """Prepare to listen; nothing is opened yet."""
         self._address = address
-        self._server = grpc.aio.server(options=OPTIONS)
+        self._server = grpc.aio.server(options=CHANNEL_OPTIONS)
 
     async def start(
         self,
-        streams: MappingProxyType[str, StreamMethod],
-        calls: MappingProxyType[str, Method],
+        streams: MappingProxyType[str, StreamHandler],
+        calls: MappingProxyType[str, CallHandler],
     ) -> None:
         """Listen; raises OSError when the address cannot be had."""
         handlers: dict[str, Any] = {
@@ -200,14 +200,14 @@
         await self._server.stop(grace=0)
 
 
-def _stream(method: StreamMethod) -> Any:
+def _stream(method: StreamHandler) -> Any:
     async def serve(_: Any, context: Any) -> None:
         await method(context)
 
     return serve
 
 
-def _call(method: Method) -> Any:
+def _call(method: CallHandler) -> Any:
     async def serve(encoded: bytes, _: Any) -> bytes:
         return await method(encoded)
 
--- a/mulberrywalk/transport/channel_test.py
+++ b/mulberrywalk/transport/channel_test.py
@@ -61,4 +61,4 @@
 
     monkeypatch.setattr(channel, 'call', answer)
     with pytest.raises(ConnectionError):
-        anyio.run(channel.ask, 'a:1', 'Join', b'', wire.JoinReply)
+        anyio.run(channel.call_decoded, 'a:1', 'Join', b'', wire.JoinReply)
--- a/mulberrywalk/transport/reading.py
+++ b/mulberrywalk/transport/decoding.py
@@ -15,13 +15,13 @@
 
 # Of what is wrong with a message, so many characters are told and logged: the
 # message may be quoted in it.
-MOST_TOLD = 300
+MAX_ERROR_LENGTH = 300
 # How deeply free-form data may be nested, and the whole numbers in it: those of
 # 64 bits with a sign.
-MOST_NESTED = 16
-_MOST_WHOLE = job.MAX_INT64
+MAX_NESTING_DEPTH = 16
+_MAX_INTEGER = job.MAX_INT64
 
-_UNREADABLE = (
+_DECODING_ERRORS = (
     msgspec.MsgspecError,
     ArithmeticError,
     IndexError,
@@ -30,11 +30,11 @@
 )
 
 
-class UnreadableError(Exception):
+class MalformedMessageError(Exception):
     """A message that cannot be read; the text says why."""
 
 
-class _Refusal:
+class _ErrorTranslation:
     """A context that turns what is wrong with a message into one error."""
 
     __slots__ = ('_kind',)
@@ -50,38 +50,40 @@
         self, kind: object, error: BaseException | None, trace: object
     ) -> None:
         """Raise the reader's error, or leave one of the program as it is."""
-        if isinstance(error, _UNREADABLE):
-            raise self._kind(str(error)[:MOST_TOLD]) from error
+        if isinstance(error, _DECODING_ERRORS):
+            raise self._kind(str(error)[:MAX_ERROR_LENGTH]) from error
 
 
-def refused_as(kind: type[Exception] = UnreadableError) -> _Refusal:
+def translate_errors(
+    kind: type[Exception] = MalformedMessageError,
+) -> _ErrorTranslation:
     """Raise an error of a kind for whatever is wrong with a message.
 
     A class, since each event passes here: a generator takes 2 us more.
     """
-    return _Refusal(kind)
+    return _ErrorTranslation(kind)
 
 
-def find_fault(said: Any) -> str:
+def find_encoding_error(said: Any) -> str:
     """Return why no message can carry free-form data, or nothing.
 
     The data is that of JSON: dictionaries, lists, texts and numbers.
     """
     level = [said]
-    for _ in range(MOST_NESTED):
-        if not all(map(_is_plain, level)):
+    for _ in range(MAX_NESTING_DEPTH):
+        if not all(map(_is_in_range, level)):
             return 'a number is too large'
-        level = [inner for one in level for inner in _inner_of(one)]
+        level = [inner for one in level for inner in _children_of(one)]
         if not level:
             return ''
-    return f'nested more than {MOST_NESTED} deep'
+    return f'nested more than {MAX_NESTING_DEPTH} deep'
 
 
-def _is_plain(said: Any) -> bool:
-    return not isinstance(said, int) or abs(said) <= _MOST_WHOLE
+def _is_in_range(said: Any) -> bool:
+    return not isinstance(said, int) or abs(said) <= _MAX_INTEGER
 
 
-def _inner_of(said: Any) -> list[Any]:
+def _children_of(said: Any) -> list[Any]:
     if isinstance(said, dict):
         return list(said.values())
     return said if isinstance(said, list) else []
--- a/mulberrywalk/transport/reading_test.py
+++ b/mulberrywalk/transport/decoding_test.py
@@ -3,7 +3,7 @@
 import msgspec
 import pytest
 
-from . import reading
+from . import decoding
 
 DEEP = b'[' * 100_000 + b']' * 100_000
 
@@ -12,23 +12,32 @@
     'encoded', [b'{', b'"\xff"', b'1e400', DEEP, b'', b'}']
 )
 def test_bytes_that_cannot_be_read_raise_one_error(encoded):
-    with pytest.raises(reading.UnreadableError), reading.refused_as():
+    with (
+        pytest.raises(decoding.MalformedMessageError),
+        decoding.translate_errors(),
+    ):
         msgspec.json.decode(encoded)
 
 
 def test_number_that_is_too_large_raises_the_error_of_the_reader():
-    with pytest.raises(ConnectionError), reading.refused_as(ConnectionError):
+    with (
+        pytest.raises(ConnectionError),
+        decoding.translate_errors(ConnectionError),
+    ):
         round(float('inf'))
 
 
 def test_error_does_not_quote_a_whole_message():
-    with pytest.raises(reading.UnreadableError) as told, reading.refused_as():
+    with (
+        pytest.raises(decoding.MalformedMessageError) as told,
+        decoding.translate_errors(),
+    ):
         raise ValueError('x' * 100_000)
-    assert len(str(told.value)) == reading.MOST_TOLD
+    assert len(str(told.value)) == decoding.MAX_ERROR_LENGTH
 
 
 def test_fault_of_the_program_is_not_taken_for_one_of_the_message():
-    with pytest.raises(TypeError), reading.refused_as():
+    with pytest.raises(TypeError), decoding.translate_errors():
         raise TypeError
 
 
@@ -52,4 +61,4 @@
     ],
 )
 def test_data_that_no_message_can_carry_has_a_fault(said, is_fine):
-    assert bool(reading.find_fault(said)) is not is_fine
+    assert bool(decoding.find_encoding_error(said)) is not is_fine
--- a/mulberrywalk/transport/wire.py
+++ b/mulberrywalk/transport/wire.py
@@ -110,7 +110,7 @@
     sessions: tuple[tuple[identity.SessionId, int], ...]
 
 
-class Carried(msgspec.Struct, frozen=True, tag=True):
+class PolledSessions(msgspec.Struct, frozen=True, tag='Carried'):
     """The sessions of called targets that an entry carries as it links."""
 
     sessions: tuple[identity.SessionId, ...]
@@ -132,7 +132,7 @@
     session: identity.SessionId
 
 
-class EntryPulse(msgspec.Struct, frozen=True, tag=True):
+class EntryHeartbeat(msgspec.Struct, frozen=True, tag='EntryPulse'):
     """An entry is alive and applies this version of the configuration.
 
     sent_at is the entry's monotonic clock in milliseconds. An entry that is
@@ -145,7 +145,7 @@
     is_stopping: bool = False
 
 
-class Advised(msgspec.Struct, frozen=True, tag=True):
+class AdviceResult(msgspec.Struct, frozen=True, tag='Advised'):
     """The adviser's answer for a step; nothing asked when it failed.
 
     age_ms is how long ago the adviser was asked.
@@ -158,7 +158,13 @@
 
 
 FromEntry: TypeAlias = (
-    Call | Renewals | Carried | Report | Departure | EntryPulse | Advised
+    Call
+    | Renewals
+    | PolledSessions
+    | Report
+    | Departure
+    | EntryHeartbeat
+    | AdviceResult
 )
 
 
@@ -239,26 +245,26 @@
     shares: tuple[Share, ...] = ()
 
 
-class AdviceWanted(msgspec.Struct, frozen=True, tag=True):
+class AdviceRequest(msgspec.Struct, frozen=True, tag='AdviceWanted'):
     """The entry is to ask the adviser about a step."""
 
     step: identity.StepId
     targets: tuple[identity.TargetId, ...]
 
 
-class Renewed(msgspec.Struct, frozen=True, tag=True):
+class RenewedSessions(msgspec.Struct, frozen=True, tag='Renewed'):
     """Renewals that the leader has received while its lease held."""
 
     sessions: tuple[tuple[identity.SessionId, int], ...]
 
 
-class Gone(msgspec.Struct, frozen=True, tag=True):
+class EndedSessions(msgspec.Struct, frozen=True, tag='Gone'):
     """Sessions that have ended: their targets stop all they run."""
 
     sessions: tuple[identity.SessionId, ...]
 
 
-class LeaderPulse(msgspec.Struct, frozen=True, tag=True):
+class LeaderHeartbeat(msgspec.Struct, frozen=True, tag='LeaderPulse'):
     """The leader's lease holds and this version is in force.
 
     echo is the sent_at of the latest pulse that the entry has sent: the entry
@@ -290,14 +296,14 @@
 ToEntry: TypeAlias = (
     Reply
     | Commands
-    | Renewed
-    | Gone
-    | LeaderPulse
+    | RenewedSessions
+    | EndedSessions
+    | LeaderHeartbeat
     | ConfigurationChanged
     | MembersChanged
     | Redirect
     | Assignment
-    | AdviceWanted
+    | AdviceRequest
 )
 
 
