--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -314,7 +314,7 @@
 
     def _end_session(self, applied_effect: effect.EndSession) -> None:
         entry = self._leases.entry_of(applied_effect.session)
-        self.links.send(entry, wire.Gone((applied_effect.session,)))
+        self.links.send(entry, wire.EndedSessions((applied_effect.session,)))
         self._leases.remove(applied_effect.session)
 
     def _report_job_end(self, applied_effect: effect.ReportJobEnd) -> None:
--- a/mulberrywalk/replica/message_handler.py
+++ b/mulberrywalk/replica/message_handler.py
@@ -49,11 +49,11 @@
                 {
                     wire.Call: self._serve_call,
                     wire.Renewals: self._renew,
-                    wire.Carried: self._accept_claims,
+                    wire.PolledSessions: self._accept_claims,
                     wire.Report: self._propose_report,
                     wire.Departure: self._propose_departure,
-                    wire.Advised: self._propose_advice,
-                    wire.EntryPulse: self._record_pulse,
+                    wire.AdviceResult: self._propose_advice,
+                    wire.EntryHeartbeat: self._record_pulse,
                 }
             )
         )
@@ -74,7 +74,7 @@
         )
 
     def _record_pulse(
-        self, origin: link.Link, received: wire.EntryPulse
+        self, origin: link.Link, received: wire.EntryHeartbeat
     ) -> None:
         origin.is_stopping = received.is_stopping
         origin.version = received.version
@@ -82,7 +82,7 @@
         origin.cost = received.cost
 
     def _propose_advice(
-        self, origin: link.Link, received: wire.Advised
+        self, origin: link.Link, received: wire.AdviceResult
     ) -> None:
         self._components.advice_requests.complete(received.step)
         self._engine.propose(
@@ -109,11 +109,13 @@
                 if leases.renew(session, origin.process, now):
                     self._components.delivery.resend_session(session, now)
         if renewed:
-            origin.send(wire.Renewed(tuple(renewed)))
+            origin.send(wire.RenewedSessions(tuple(renewed)))
         if gone:
-            origin.send(wire.Gone(tuple(gone)))
+            origin.send(wire.EndedSessions(tuple(gone)))
 
-    def _accept_claims(self, origin: link.Link, received: wire.Carried) -> None:
+    def _accept_claims(
+        self, origin: link.Link, received: wire.PolledSessions
+    ) -> None:
         now = clock.monotonic_ms()
         assignments = self._components.assignments
         gone = tuple(
@@ -122,7 +124,7 @@
             if not assignments.accept_claim(session, origin, now)
         )
         if gone:
-            origin.send(wire.Gone(gone))
+            origin.send(wire.EndedSessions(gone))
         assignments.resend_missing(origin, received.sessions, now)
 
     def _is_renewable(self, session: identity.SessionId, now: int) -> bool:
@@ -175,7 +177,7 @@
 
         def notify(event_outcome: outcome.Outcome | None) -> None:
             if isinstance(event_outcome, outcome.NotRun):
-                origin.send(wire.Gone((received.session,)))
+                origin.send(wire.EndedSessions((received.session,)))
 
         self._engine.propose(
             event.ReportReceived(
