--- a/mulberrywalk/consensus/election.py
+++ b/mulberrywalk/consensus/election.py
@@ -2,21 +2,23 @@
 
 from __future__ import annotations
 
-from . import message, node, restart
+from . import message, node, restart_proof
 
 
-def follow(state: node.Node, term: int, effects: list[node.Effect]) -> None:
+def become_follower(
+    state: node.Node, term: int, effects: list[node.Effect]
+) -> None:
     """Follow in a term; a later term clears the vote and is saved."""
     if term > state.term:
         state.term = term
         state.vote = None
         effects.append(node.SaveVote(term, None))
         state.leader = None
-    become(state, node.Role.FOLLOWER, effects)
-    defer(state)
+    set_role(state, node.Role.FOLLOWER, effects)
+    reset_election_timer(state)
 
 
-def become(
+def set_role(
     state: node.Node, role: node.Role, effects: list[node.Effect]
 ) -> None:
     """Take a role and report it when it differs from the present one."""
@@ -28,17 +30,19 @@
     effects.append(node.RoleChanged(role, state.term))
 
 
-def defer(state: node.Node) -> None:
+def reset_election_timer(state: node.Node) -> None:
     """Start the election timeout anew."""
     timeout = node.election_timeout(state)
-    if restart.asks_early(state):
-        timeout = restart.early_timeout(state)
-    state.election_at = state.now + timeout
+    if restart_proof.uses_early_timeout(state):
+        timeout = restart_proof.early_timeout(state)
+    state.election_due_at = state.now + timeout
 
 
-def is_leased(state: node.Node) -> bool:
+def may_leader_hold_lease(state: node.Node) -> bool:
     """Return whether a leader that was heard may still hold its lease."""
-    return state.now < state.heard_at + state.timing.election_ms
+    return (
+        state.now < state.leader_contact_at + state.timing.election_timeout_ms
+    )
 
 
 def is_vote_refused_by_lease(state: node.Node, body: message.Message) -> bool:
@@ -50,45 +54,47 @@
         return False
     if state.role is node.Role.LEADER:
         return node.holds_lease(state, state.now)
-    return is_leased(state) and not restart.accepts(state, body)
+    return may_leader_hold_lease(state) and not restart_proof.is_valid(
+        state, body
+    )
 
 
-def stand(state: node.Node, effects: list[node.Effect]) -> None:
+def start_pre_vote(state: node.Node, effects: list[node.Effect]) -> None:
     """Ask the voters whether an election could be won."""
-    state.elections += 1
-    defer(state)
+    state.election_attempts += 1
+    reset_election_timer(state)
     if not state.is_voter():
         return
-    become(state, node.Role.PRE_CANDIDATE, effects)
+    set_role(state, node.Role.PRE_CANDIDATE, effects)
     state.leader = None
-    state.granted = {state.identity}
-    restart.begin(state)
+    state.votes_granted = {state.identity}
+    restart_proof.start_round(state)
     if _has_won(state):
-        campaign(state, effects, handover=False)
+        start_election(state, effects, handover=False)
         return
     request = message.PreVoteRequest(
         state.term + 1,
         state.log.last_index(),
         state.log.last_term(),
-        state.asked_at,
+        state.pre_vote_sent_at,
     )
     _broadcast(state, request, effects, is_after_sync=False)
 
 
-def campaign(
+def start_election(
     state: node.Node, effects: list[node.Effect], *, handover: bool
 ) -> None:
     """Start a term, vote for this replica and ask the others."""
-    proof = state.restarted if restart.is_proved(state) else {}
+    proof = state.restarted_voters if restart_proof.is_complete(state) else {}
     state.term += 1
     state.vote = state.identity
     state.leader = None
     effects.append(node.SaveVote(state.term, state.vote))
-    become(state, node.Role.CANDIDATE, effects)
-    state.granted = {state.identity}
-    defer(state)
+    set_role(state, node.Role.CANDIDATE, effects)
+    state.votes_granted = {state.identity}
+    reset_election_timer(state)
     if _has_won(state):
-        lead(state, effects)
+        become_leader(state, effects)
         return
     request = message.VoteRequest(
         state.term,
@@ -100,28 +106,28 @@
     _broadcast(state, request, effects, is_after_sync=True)
 
 
-def lead(state: node.Node, effects: list[node.Effect]) -> None:
+def become_leader(state: node.Node, effects: list[node.Effect]) -> None:
     """Become the leader and append the first entry of the term.
 
     That entry carries earlier entries to their commit, which a leader may
     not count by replicas alone.
     """
-    become(state, node.Role.LEADER, effects)
-    state.has_heard = True
+    set_role(state, node.Role.LEADER, effects)
+    state.has_seen_leader = True
     state.leader = state.identity
-    state.led_from = state.now
-    state.term_started_index = state.log.last_index() + 1
-    state.heartbeat_at = state.now
+    state.leader_since = state.now
+    state.term_start_index = state.log.last_index() + 1
+    state.heartbeat_due_at = state.now
     for peer in state.peers():
-        track(state, peer)
+        track_progress(state, peer)
     entry = message.LogEntry(
-        state.term_started_index, state.term, message.EntryKind.NOOP, b''
+        state.term_start_index, state.term, message.EntryKind.NOOP, b''
     )
     state.log.append(entry)
     effects.append(node.SaveEntries((entry,)))
 
 
-def track(
+def track_progress(
     state: node.Node, peer: message.ReplicaId, *, is_new: bool = False
 ) -> None:
     """Start to follow the progress of another replica.
@@ -131,34 +137,36 @@
     if peer not in state.progress:
         state.progress[peer] = node.Progress(
             next_index=1 if is_new else state.log.last_index() + 1,
-            acknowledged_at=state.led_from,
+            acknowledged_at=state.leader_since,
         )
 
 
-def answer_pre_vote(
+def handle_pre_vote_request(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.PreVoteRequest,
     effects: list[node.Effect],
 ) -> None:
     """Say whether this replica would vote; nothing is promised."""
-    is_free = not (state.role is node.Role.LEADER or is_leased(state))
+    is_free = not (
+        state.role is node.Role.LEADER or may_leader_hold_lease(state)
+    )
     is_current = _is_current(state, body.last_index, body.last_term)
     granted = is_free and body.term > state.term and is_current
-    if not is_current and (is_free or restart.is_fresh(state)):
+    if not is_current and (is_free or restart_proof.has_seen_no_leader(state)):
         # The sender cannot win and this replica may: it need not wait on.
-        state.election_at = min(state.election_at, state.now)
+        state.election_due_at = min(state.election_due_at, state.now)
     # A refusal tells the own term, so that a candidate whose log is the
     # longest but whose term is behind does not ask in vain for ever.
     reply = message.PreVoteReply(
         body.term if granted else state.term,
         granted,
-        *restart.tell(state, body),
+        *restart_proof.reply_fields(state, body),
     )
     effects.append(node.Send(sender, reply, is_after_sync=False))
 
 
-def count_pre_vote(
+def handle_pre_vote_reply(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.PreVoteReply,
@@ -168,16 +176,16 @@
     if state.role is not node.Role.PRE_CANDIDATE:
         return
     if not body.granted and body.term > state.term:
-        follow(state, body.term, effects)
+        become_follower(state, body.term, effects)
         return
-    restart.note(state, sender, body)
+    restart_proof.record_reply(state, sender, body)
     if body.granted and body.term == state.term + 1:
-        state.granted.add(sender)
-    if _has_won(state) or restart.is_proved(state):
-        campaign(state, effects, handover=False)
+        state.votes_granted.add(sender)
+    if _has_won(state) or restart_proof.is_complete(state):
+        start_election(state, effects, handover=False)
 
 
-def answer_vote(
+def handle_vote_request(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.VoteRequest,
@@ -193,12 +201,12 @@
     if granted and state.vote is None:
         state.vote = sender
         effects.append(node.SaveVote(state.term, sender))
-        defer(state)
+        reset_election_timer(state)
     reply = message.VoteReply(state.term, granted)
     effects.append(node.Send(sender, reply, is_after_sync=True))
 
 
-def count_vote(
+def handle_vote_reply(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.VoteReply,
@@ -208,12 +216,12 @@
     if state.role is not node.Role.CANDIDATE or body.term != state.term:
         return
     if body.granted:
-        state.granted.add(sender)
+        state.votes_granted.add(sender)
         if _has_won(state):
-            lead(state, effects)
+            become_leader(state, effects)
 
 
-def accept_handover(
+def handle_handover_request(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.HandoverRequest,
@@ -222,12 +230,12 @@
     """Stand for election at once, as the leader asked."""
     is_asked_by_leader = body.term == state.term and state.leader == sender
     if is_asked_by_leader and state.is_voter():
-        campaign(state, effects, handover=True)
+        start_election(state, effects, handover=True)
 
 
 def _has_won(state: node.Node) -> bool:
     voters = set(state.membership.voters())
-    return len(state.granted & voters) >= state.membership.quorum()
+    return len(state.votes_granted & voters) >= state.membership.quorum()
 
 
 def _is_current(state: node.Node, last_index: int, last_term: int) -> bool:
--- a/mulberrywalk/consensus/leadership.py
+++ b/mulberrywalk/consensus/leadership.py
@@ -10,21 +10,24 @@
 _SNAPSHOT_RETRY_MS = 1000
 
 
-def lead(state: node.Node, effects: list[node.Effect]) -> None:
+def maintain_leadership(state: node.Node, effects: list[node.Effect]) -> None:
     """Send heartbeats, and step down when a quorum stays silent."""
-    silent_ms = state.now - node.confirmed_at(state)
-    patience_ms = state.timing.election_ms + 2 * state.timing.heartbeat_ms
+    silent_ms = state.now - node.quorum_contact_at(state)
+    patience_ms = (
+        state.timing.election_timeout_ms
+        + 2 * state.timing.heartbeat_interval_ms
+    )
     if silent_ms >= patience_ms:
-        election.follow(state, state.term, effects)
+        election.become_follower(state, state.term, effects)
         state.leader = None
         return
     if state.handover_to is not None and state.now >= state.handover_until:
         # The request may still arrive, so the lease of this term is void.
-        election.follow(state, state.term, effects)
+        election.become_follower(state, state.term, effects)
         state.leader = None
         return
-    if state.now >= state.heartbeat_at:
-        state.heartbeat_at = state.now + state.timing.heartbeat_ms
+    if state.now >= state.heartbeat_due_at:
+        state.heartbeat_due_at = state.now + state.timing.heartbeat_interval_ms
         for peer in state.peers():
             _probe_again(state, peer)
             _send_heartbeat(state, peer, effects)
@@ -74,13 +77,13 @@
     """Return whether a membership change may start now."""
     if state.role is not node.Role.LEADER or state.handover_to is not None:
         return False
-    if state.commit_index < state.term_started_index:
+    if state.commit_index < state.term_start_index:
         return False
     committed = state.log.membership_at(state.commit_index)
     return committed == state.membership
 
 
-def propose_handover(
+def start_handover(
     state: node.Node,
     entered: node.HandoverProposed,
     effects: list[node.Effect],
@@ -104,7 +107,7 @@
     _finish_handover(state, effects)
 
 
-def count_append(
+def handle_append_reply(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.AppendReply,
@@ -150,7 +153,7 @@
 ) -> None:
     # A membership is in force as soon as it stands in the log.
     if any(one.kind is message.EntryKind.MEMBERSHIP for one in entries):
-        replication.restore_membership(state)
+        replication.refresh_membership(state)
 
 
 def _differs_by_one(old: message.Membership, new: message.Membership) -> bool:
@@ -160,7 +163,7 @@
 def _probe_again(state: node.Node, peer: message.ReplicaId) -> None:
     # Messages may have been lost: after silence, restart from what is known.
     progress = state.progress[peer]
-    if state.now - progress.acknowledged_at > state.timing.election_ms:
+    if state.now - progress.acknowledged_at > state.timing.election_timeout_ms:
         progress.is_probing = True
         progress.next_index = progress.match_index + 1
 
@@ -199,7 +202,7 @@
     # A newcomer knows nobody to answer to before it has the first entries.
     if not progress.is_probing or progress.next_index == 1:
         entries = state.log.slice(
-            progress.next_index, state.timing.batch_entries
+            progress.next_index, state.timing.max_batch_entries
         )
     request = message.AppendRequest(
         state.term,
@@ -219,8 +222,8 @@
 ) -> None:
     progress = state.progress[peer]
     progress.is_probing = True
-    if state.now >= progress.snapshot_at + _SNAPSHOT_RETRY_MS:
-        progress.snapshot_at = state.now
+    if state.now >= progress.snapshot_sent_at + _SNAPSHOT_RETRY_MS:
+        progress.snapshot_sent_at = state.now
         effects.append(node.SendSnapshot(peer, state.term, state.now))
 
 
--- a/mulberrywalk/consensus/message.py
+++ b/mulberrywalk/consensus/message.py
@@ -76,7 +76,7 @@
         )
 
 
-NOBODY = Membership(())
+EMPTY_MEMBERSHIP = Membership(())
 
 
 class Snapshot(msgspec.Struct, frozen=True):
--- a/mulberrywalk/consensus/node.py
+++ b/mulberrywalk/consensus/node.py
@@ -24,13 +24,17 @@
 class Timing:
     """Intervals of the consensus in milliseconds.
 
-    The election timeout of a replica lies between election_ms and twice that.
+    The election timeout of a replica is randomized between
+    election_timeout_ms and twice that; election_timeout_ms is also the
+    duration of the leader lease. clock_drift_ms is subtracted from the lease
+    to allow for clocks that run at different rates. max_batch_entries is the
+    largest number of entries in one append request.
     """
 
-    heartbeat_ms: int = 100
-    election_ms: int = 600
-    drift_ms: int = 100
-    batch_entries: int = 512
+    heartbeat_interval_ms: int = 100
+    election_timeout_ms: int = 600
+    clock_drift_ms: int = 100
+    max_batch_entries: int = 512
 
 
 @dataclasses.dataclass(slots=True)
@@ -38,13 +42,13 @@
     """What the leader knows of one other replica.
 
     acknowledged_at is the leader's clock when it sent the newest message that
-    this replica has answered; snapshot_at when it last sent a snapshot.
+    this replica has answered; snapshot_sent_at when it last sent a snapshot.
     """
 
     next_index: int
     match_index: int = 0
     acknowledged_at: int = 0
-    snapshot_at: int = -1_000_000
+    snapshot_sent_at: int = -1_000_000
     is_probing: bool = True
 
 
@@ -52,10 +56,16 @@
 class Node:
     """The consensus state of one replica.
 
-    heard_at is when a current leader last spoke; synced_index is the last
-    entry on the disk; term_started_index is the first entry of the own term.
-    boot names this process; restarted holds the boots of the voters that
-    have said, since asked_at, that they have heard of no leader.
+    synced_index is the last index synced to disk. leader_contact_at is when
+    the replica last received a message from the current leader.
+    election_due_at and heartbeat_due_at are when the next election or
+    heartbeat starts. leader_since is when this replica became leader, and
+    term_start_index the index of the first entry that it appended in its
+    term. handover_to is the voter that leadership is being transferred to,
+    until handover_until. boot_id identifies this process; zero disables the
+    restart proof. restarted_voters maps the voters that replied to the
+    pre-vote of pre_vote_sent_at that they have seen no leader since they
+    started to their boot IDs. All times are in milliseconds.
     """
 
     identity: message.ReplicaId
@@ -65,28 +75,30 @@
     vote: message.ReplicaId | None = None
     role: Role = Role.FOLLOWER
     leader: message.ReplicaId | None = None
-    membership: message.Membership = message.NOBODY
+    membership: message.Membership = message.EMPTY_MEMBERSHIP
     commit_index: int = 0
     applied_index: int = 0
     synced_index: int = 0
     now: int = 0
-    heard_at: int = 0
-    election_at: int = 0
-    heartbeat_at: int = 0
-    led_from: int = 0
-    term_started_index: int = 0
-    granted: set[message.ReplicaId] = dataclasses.field(default_factory=set)
+    leader_contact_at: int = 0
+    election_due_at: int = 0
+    heartbeat_due_at: int = 0
+    leader_since: int = 0
+    term_start_index: int = 0
+    votes_granted: set[message.ReplicaId] = dataclasses.field(
+        default_factory=set
+    )
     progress: dict[message.ReplicaId, Progress] = dataclasses.field(
         default_factory=dict
     )
     handover_to: message.ReplicaId | None = None
     handover_until: int = 0
-    elections: int = 0
-    boot: int = 0
+    election_attempts: int = 0
+    boot_id: int = 0
     started_at: int = 0
-    has_heard: bool = False
-    asked_at: int = 0
-    restarted: dict[message.ReplicaId, int] = dataclasses.field(
+    has_seen_leader: bool = False
+    pre_vote_sent_at: int = 0
+    restarted_voters: dict[message.ReplicaId, int] = dataclasses.field(
         default_factory=dict
     )
 
@@ -233,9 +245,9 @@
     The spread comes from a checksum of identity and attempt, so that the
     reducer needs no randomness and two replicas rarely collide twice.
     """
-    seed = f'{node.identity}/{node.term}/{node.elections}'.encode()
-    spread = zlib.crc32(seed) % node.timing.election_ms
-    return node.timing.election_ms + spread
+    seed = f'{node.identity}/{node.term}/{node.election_attempts}'.encode()
+    spread = zlib.crc32(seed) % node.timing.election_timeout_ms
+    return node.timing.election_timeout_ms + spread
 
 
 def holds_lease(node: Node, now: int) -> bool:
@@ -246,12 +258,12 @@
     """
     if node.role is not Role.LEADER or node.handover_to is not None:
         return False
-    return now < confirmed_at(node) + node.timing.election_ms - (
-        node.timing.drift_ms
+    return now < quorum_contact_at(node) + node.timing.election_timeout_ms - (
+        node.timing.clock_drift_ms
     )
 
 
-def confirmed_at(node: Node) -> int:
+def quorum_contact_at(node: Node) -> int:
     """Return the latest send time that a quorum of voters has answered."""
     times = sorted(
         (
--- a/mulberrywalk/consensus/raft.py
+++ b/mulberrywalk/consensus/raft.py
@@ -22,30 +22,31 @@
     *,
     vote: node.SaveVote,
     now: int,
-    committed: int = 0,
-    boot: int = 0,
+    commit_index: int = 0,
+    boot_id: int = 0,
 ) -> node.Node:
     """Return the state of a replica that starts from its disk.
 
-    All entries of the log count as synced. The replica counts as having just
-    heard from a leader, because it may have promised one a lease before it
-    stopped. committed is the commit index that the disk remembers; entries up
-    to it are not handed out again. boot is a number of this process alone; zero
-    lets it wait for the whole election timeout.
+    All entries of the log count as synced. leader_contact_at is set to now,
+    because the replica may have granted a leader a lease before it stopped.
+    commit_index is the commit index read from disk; no Apply effects are
+    returned for entries up to it. boot_id is unique to this process; with
+    zero the replica waits for the full election timeout before it starts an
+    election.
     """
     state = node.Node(identity=identity, log=log, timing=timing)
     state.term = vote.term
     state.vote = vote.vote
     state.now = now
-    state.heard_at = now
-    known = max(log.snapshot_index, min(committed, log.last_index()))
+    state.leader_contact_at = now
+    known = max(log.snapshot_index, min(commit_index, log.last_index()))
     state.commit_index = known
     state.applied_index = known
     state.synced_index = log.last_index()
     state.membership = log.membership_at(log.last_index())
-    state.boot = boot
+    state.boot_id = boot_id
     state.started_at = now
-    election.defer(state)
+    election.reset_election_timer(state)
     return state
 
 
@@ -56,7 +57,7 @@
     """
     effects: list[node.Effect] = []
     _INPUTS[type(entered)](state, entered, effects)
-    replication.commit(state, effects)
+    replication.commit_and_apply(state, effects)
     return effects
 
 
@@ -68,7 +69,7 @@
     if body.term > state.term and not is_trial:
         if election.is_vote_refused_by_lease(state, body):
             return
-        election.follow(state, body.term, effects)
+        election.become_follower(state, body.term, effects)
     _MESSAGES[type(body)](state, entered.sender, body, effects)
 
 
@@ -77,32 +78,32 @@
 ) -> None:
     state.now = max(state.now, entered.now)
     if state.role is node.Role.LEADER:
-        leadership.lead(state, effects)
-    elif state.now >= state.election_at:
-        election.stand(state, effects)
+        leadership.maintain_leadership(state, effects)
+    elif state.now >= state.election_due_at:
+        election.start_pre_vote(state, effects)
 
 
 _INPUTS: MappingProxyType[Any, Callable[..., None]] = MappingProxyType(
     {
         node.Tick: _tick,
         node.Received: _receive,
-        node.Synced: replication.sync,
+        node.Synced: replication.handle_synced,
         node.Proposed: leadership.propose,
         node.MembershipProposed: leadership.propose_membership,
-        node.HandoverProposed: leadership.propose_handover,
-        node.Compacted: replication.compact,
+        node.HandoverProposed: leadership.start_handover,
+        node.Compacted: replication.handle_compacted,
     }
 )
 
 _MESSAGES: MappingProxyType[Any, Callable[..., None]] = MappingProxyType(
     {
-        message.PreVoteRequest: election.answer_pre_vote,
-        message.PreVoteReply: election.count_pre_vote,
-        message.VoteRequest: election.answer_vote,
-        message.VoteReply: election.count_vote,
-        message.HandoverRequest: election.accept_handover,
-        message.AppendRequest: replication.answer_append,
-        message.AppendReply: leadership.count_append,
-        message.SnapshotRequest: replication.answer_snapshot,
+        message.PreVoteRequest: election.handle_pre_vote_request,
+        message.PreVoteReply: election.handle_pre_vote_reply,
+        message.VoteRequest: election.handle_vote_request,
+        message.VoteReply: election.handle_vote_reply,
+        message.HandoverRequest: election.handle_handover_request,
+        message.AppendRequest: replication.handle_append_request,
+        message.AppendReply: leadership.handle_append_reply,
+        message.SnapshotRequest: replication.handle_snapshot_request,
     }
 )
--- a/mulberrywalk/consensus/raft_test.py
+++ b/mulberrywalk/consensus/raft_test.py
@@ -19,7 +19,9 @@
 
 from . import log, message, node, raft
 
-TIMING = node.Timing(heartbeat_ms=50, election_ms=200, drift_ms=20)
+TIMING = node.Timing(
+    heartbeat_interval_ms=50, election_timeout_ms=200, clock_drift_ms=20
+)
 SOAK = bool(os.environ.get('MULBERRYWALK_SOAK'))
 CHOICE = st.integers(min_value=0, max_value=999)
 
@@ -31,7 +33,7 @@
     vote: node.SaveVote
     entries: list
     snapshot: message.Snapshot | None = None
-    committed: int = 0
+    commit_index: int = 0
     unsynced: list = dataclasses.field(default_factory=list)
     held: list = dataclasses.field(default_factory=list)
 
@@ -88,9 +90,9 @@
             disk.log(self.founders),
             TIMING,
             vote=disk.vote,
-            committed=disk.committed,
+            commit_index=disk.commit_index,
             now=self.now,
-            boot=next(self.boots),
+            boot_id=next(self.boots),
         )
         self.nodes[name] = state
         held = disk.snapshot.payload if disk.snapshot else b'[]'
@@ -157,7 +159,7 @@
         disk = self.disks[name]
         disk.sync()
         state = self.nodes[name]
-        disk.committed = max(disk.committed, state.commit_index)
+        disk.commit_index = max(disk.commit_index, state.commit_index)
         self.network.extend(disk.held)
         disk.held.clear()
         self.step(
@@ -485,7 +487,7 @@
     world.cuts = {(leader, other) for other in others}
     for name in others:
         world.start(name)
-    for _ in range(TIMING.election_ms // 10 - 2):
+    for _ in range(TIMING.election_timeout_ms // 10 - 2):
         world.run(10)
         world.check()
     asked = message.VoteRequest(9, 99, 9, handover=False)
@@ -575,7 +577,7 @@
     before = world.leader()
     for name in list(world.nodes):
         world.start(name)
-    world.run(TIMING.election_ms - 20)
+    world.run(TIMING.election_timeout_ms - 20)
     assert world.leader()
     world.check()
     assert before in world.nodes
@@ -594,7 +596,7 @@
 
 def test_a_proof_holds_only_for_the_process_that_gave_it():
     state = lonely('a', 'abc')
-    state.boot = 7
+    state.boot_id = 7
     proof = (('a', 7), ('b', 8), ('c', 9))
     older = (('a', 6), ('b', 8), ('c', 9))
     for restarted, is_taken in (
@@ -611,22 +613,22 @@
 
 def test_an_answer_of_a_voter_that_was_not_up_when_asked_does_not_count():
     state = lonely('a', 'abc')
-    state.boot = 7
-    raft.step(state, node.Tick(2 * TIMING.election_ms))
+    state.boot_id = 7
+    raft.step(state, node.Tick(2 * TIMING.election_timeout_ms))
     raft.step(state, node.Tick(state.now + 100))
-    reply = message.PreVoteReply(0, False, 8, 100, state.asked_at)
+    reply = message.PreVoteReply(0, False, 8, 100, state.pre_vote_sent_at)
     raft.step(state, node.Received('b', reply))
-    assert set(state.restarted) == {'a'}
-    reply = message.PreVoteReply(0, False, 8, 900, state.asked_at)
+    assert set(state.restarted_voters) == {'a'}
+    reply = message.PreVoteReply(0, False, 8, 900, state.pre_vote_sent_at)
     raft.step(state, node.Received('b', reply))
-    assert set(state.restarted) == {'a', 'b'}
+    assert set(state.restarted_voters) == {'a', 'b'}
 
 
 def test_voter_with_the_longer_log_stands_at_once():
     state = lonely('a', 'abc')
     state.log.append(entry(1, 1))
-    before = raft.step(state, node.Tick(TIMING.election_ms + 1))
-    state.election_at = 10 * TIMING.election_ms
+    before = raft.step(state, node.Tick(TIMING.election_timeout_ms + 1))
+    state.election_due_at = 10 * TIMING.election_timeout_ms
     assert not sends(before)
     asked = message.PreVoteRequest(5, 0, 0)
     refused = raft.step(state, node.Received('b', asked))
--- a/mulberrywalk/consensus/repair.py
+++ b/mulberrywalk/consensus/repair.py
@@ -14,8 +14,8 @@
 _SPARE_SILENCE_MS = 2000
 
 
-def plan(
-    state: node.Node, *, voters: int, patience_ms: int
+def plan_membership_change(
+    state: node.Node, *, voter_count: int, timeout_ms: int
 ) -> message.Membership | None:
     """Return the next membership to propose, or None.
 
@@ -27,14 +27,14 @@
     silent = [
         voter
         for voter in state.membership.voters()
-        if is_superseded(state, voter) or is_silent(state, voter, patience_ms)
+        if is_superseded(state, voter) or is_silent(state, voter, timeout_ms)
     ]
     count = len(state.membership.voters())
-    if silent and count > voters:
+    if silent and count > voter_count:
         return _remove_voter(state, silent)
-    if silent or count < voters:
-        return _promote(state, silent, patience_ms)
-    return _forget_spare(state, patience_ms * _SPARE_PATIENCE)
+    if silent or count < voter_count:
+        return _promote(state, silent, timeout_ms)
+    return _forget_spare(state, timeout_ms * _SPARE_PATIENCE)
 
 
 def is_superseded(state: node.Node, replica: message.ReplicaId) -> bool:
@@ -56,16 +56,16 @@
 
 
 def is_silent(
-    state: node.Node, replica: message.ReplicaId, patience_ms: int
+    state: node.Node, replica: message.ReplicaId, timeout_ms: int
 ) -> bool:
     """Return whether another replica has not answered for that long."""
     if replica == state.identity:
         return False
     acknowledged_at = state.progress[replica].acknowledged_at
-    return state.now - acknowledged_at > patience_ms
+    return state.now - acknowledged_at > timeout_ms
 
 
-def admit(
+def add_learner(
     state: node.Node, newcomer: message.Member
 ) -> message.Membership | None:
     """Return the membership with a newcomer as a spare, or None.
@@ -90,13 +90,13 @@
 
 
 def _promote(
-    state: node.Node, silent: list[message.ReplicaId], patience_ms: int
+    state: node.Node, silent: list[message.ReplicaId], timeout_ms: int
 ) -> message.Membership | None:
     spare = next(
         (
             member
             for member in state.membership.members
-            if not member.voter and _is_caught_up(state, member, patience_ms)
+            if not member.voter and _is_caught_up(state, member, timeout_ms)
         ),
         None,
     )
@@ -110,23 +110,23 @@
 
 
 def _is_caught_up(
-    state: node.Node, member: message.Member, patience_ms: int
+    state: node.Node, member: message.Member, timeout_ms: int
 ) -> bool:
-    if is_silent(state, member.identity, min(patience_ms, _SPARE_SILENCE_MS)):
+    if is_silent(state, member.identity, min(timeout_ms, _SPARE_SILENCE_MS)):
         return False
     match = state.progress[member.identity].match_index
     return match >= state.commit_index - _CAUGHT_UP_ENTRIES
 
 
 def _forget_spare(
-    state: node.Node, patience_ms: int
+    state: node.Node, timeout_ms: int
 ) -> message.Membership | None:
     lost = next(
         (
             member.identity
             for member in state.membership.members
             if not member.voter
-            and is_silent(state, member.identity, patience_ms)
+            and is_silent(state, member.identity, timeout_ms)
         ),
         None,
     )
--- a/mulberrywalk/consensus/repair_test.py
+++ b/mulberrywalk/consensus/repair_test.py
@@ -25,7 +25,7 @@
     state.membership = members
     state.now = NOW
     state.commit_index = 10
-    state.term_started_index = 5
+    state.term_start_index = 5
     for name in 'bcd':
         state.progress[message.ReplicaId(name)] = node.Progress(
             11, match_index=10, acknowledged_at=NOW
@@ -34,7 +34,9 @@
 
 
 def plan(state):
-    return repair.plan(state, voters=3, patience_ms=PATIENCE)
+    return repair.plan_membership_change(
+        state, voter_count=3, timeout_ms=PATIENCE
+    )
 
 
 def commit_membership(state, membership):
@@ -84,9 +86,9 @@
 
 
 def test_admit_takes_a_newcomer_once(leader):
-    admitted = repair.admit(leader, member('e'))
+    admitted = repair.add_learner(leader, member('e'))
     assert not admitted.find('e').voter
-    assert repair.admit(leader, member('b')) is None
+    assert repair.add_learner(leader, member('b')) is None
 
 
 def test_plan_replaces_a_voter_whose_disk_is_lost_without_waiting(leader):
--- a/mulberrywalk/consensus/replication.py
+++ b/mulberrywalk/consensus/replication.py
@@ -6,7 +6,7 @@
 from . import log as replica_log
 
 
-def sync(
+def handle_synced(
     state: node.Node, entered: node.Synced, effects: list[node.Effect]
 ) -> None:
     """Count the own disk; a stale report of replaced entries is ignored."""
@@ -14,7 +14,7 @@
         state.synced_index = max(state.synced_index, entered.index)
 
 
-def compact(
+def handle_compacted(
     state: node.Node, entered: node.Compacted, effects: list[node.Effect]
 ) -> None:
     """Drop the entries that a snapshot on the disk covers."""
@@ -22,7 +22,7 @@
         state.log.compact(entered.index, state.log.membership_at(entered.index))
 
 
-def answer_append(
+def handle_append_request(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.AppendRequest,
@@ -49,7 +49,7 @@
     effects.append(node.Send(sender, reply, is_after_sync=True))
 
 
-def answer_snapshot(
+def handle_snapshot_request(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.SnapshotRequest,
@@ -71,7 +71,7 @@
     effects.append(node.Send(sender, reply, is_after_sync=True))
 
 
-def commit(state: node.Node, effects: list[node.Effect]) -> None:
+def commit_and_apply(state: node.Node, effects: list[node.Effect]) -> None:
     """Advance the commit index and hand out what became committed.
 
     Only an entry of the leader's own term is counted by replicas; earlier
@@ -96,7 +96,7 @@
     if state.role is node.Role.LEADER and not state.is_voter():
         committed = state.log.membership_at(state.commit_index)
         if committed == state.membership:
-            election.follow(state, state.term, effects)
+            election.become_follower(state, state.term, effects)
             state.leader = None
 
 
@@ -113,12 +113,12 @@
     return matches[state.membership.quorum() - 1]
 
 
-def restore_membership(state: node.Node) -> None:
+def refresh_membership(state: node.Node) -> None:
     """Take the latest membership of the log; a leader follows all of it."""
     state.membership = state.log.membership_at(state.log.last_index())
     if state.role is node.Role.LEADER:
         for peer in state.peers():
-            election.track(state, peer, is_new=True)
+            election.track_progress(state, peer, is_new=True)
 
 
 def _hear(
@@ -127,11 +127,11 @@
     effects: list[node.Effect],
 ) -> None:
     if state.role is not node.Role.FOLLOWER:
-        election.follow(state, state.term, effects)
-    state.has_heard = True
+        election.become_follower(state, state.term, effects)
+    state.has_seen_leader = True
     state.leader = sender
-    state.heard_at = state.now
-    election.defer(state)
+    state.leader_contact_at = state.now
+    election.reset_election_timer(state)
 
 
 def _refuse(
@@ -168,7 +168,7 @@
     state.synced_index = min(state.synced_index, first - 1)
     for entry in fresh:
         state.log.append(entry)
-    restore_membership(state)
+    refresh_membership(state)
     effects.append(node.SaveEntries(fresh))
 
 
--- a/mulberrywalk/consensus/restart.py
+++ b/mulberrywalk/consensus/restart_proof.py
@@ -25,15 +25,15 @@
 _PERCENT = 100
 
 
-def is_fresh(state: node.Node) -> bool:
+def has_seen_no_leader(state: node.Node) -> bool:
     """Return whether this process has led or heard no leader so far."""
-    return bool(state.boot) and not state.has_heard
+    return bool(state.boot_id) and not state.has_seen_leader
 
 
-def asks_early(state: node.Node) -> bool:
+def uses_early_timeout(state: node.Node) -> bool:
     """Return whether to ask the voters before the timeout is over."""
-    timeout_over = state.started_at + state.timing.election_ms
-    return is_fresh(state) and state.now < timeout_over
+    timeout_over = state.started_at + state.timing.election_timeout_ms
+    return has_seen_no_leader(state) and state.now < timeout_over
 
 
 def early_timeout(state: node.Node) -> int:
@@ -41,44 +41,46 @@
     return node.election_timeout(state) // _EARLY_PART
 
 
-def begin(state: node.Node) -> None:
+def start_round(state: node.Node) -> None:
     """Begin to ask the voters; what was heard before counts no more."""
-    state.asked_at = state.now
-    state.restarted = {}
-    if is_fresh(state):
-        state.restarted = {state.identity: state.boot}
+    state.pre_vote_sent_at = state.now
+    state.restarted_voters = {}
+    if has_seen_no_leader(state):
+        state.restarted_voters = {state.identity: state.boot_id}
 
 
-def tell(
+def reply_fields(
     state: node.Node, asked: message.PreVoteRequest
 ) -> tuple[int, int, int]:
     """Return boot, uptime in milliseconds, and what the asker goes by."""
-    if not is_fresh(state):
+    if not has_seen_no_leader(state):
         return 0, 0, asked.asked_at
-    return state.boot, state.now - state.started_at, asked.asked_at
+    return state.boot_id, state.now - state.started_at, asked.asked_at
 
 
-def note(
+def record_reply(
     state: node.Node, sender: message.ReplicaId, body: message.PreVoteReply
 ) -> None:
     """Keep what a voter has said, if it was up when it was asked."""
-    if not body.boot or body.asked_at != state.asked_at:
+    if not body.boot or body.asked_at != state.pre_vote_sent_at:
         return
     # The own clock was read a moment ago, the answer came meanwhile.
-    passed = state.now - state.asked_at + state.timing.heartbeat_ms
+    passed = (
+        state.now - state.pre_vote_sent_at + state.timing.heartbeat_interval_ms
+    )
     if body.uptime_ms * _SURE_PERCENT // _PERCENT >= passed:
-        state.restarted[sender] = body.boot
+        state.restarted_voters[sender] = body.boot
 
 
-def is_proved(state: node.Node) -> bool:
+def is_complete(state: node.Node) -> bool:
     """Return whether every voter has said that it has started anew."""
     voters = set(state.membership.voters())
-    return is_fresh(state) and voters <= state.restarted.keys()
+    return has_seen_no_leader(state) and voters <= state.restarted_voters.keys()
 
 
-def accepts(state: node.Node, body: message.VoteRequest) -> bool:
+def is_valid(state: node.Node, body: message.VoteRequest) -> bool:
     """Return whether a candidate's proof holds for this voter."""
     proof = dict(body.restarted)
     voters = set(state.membership.voters())
-    is_own = proof.get(state.identity) == state.boot
-    return is_fresh(state) and is_own and voters <= proof.keys()
+    is_own = proof.get(state.identity) == state.boot_id
+    return has_seen_no_leader(state) and is_own and voters <= proof.keys()
--- a/mulberrywalk/platform/replica.py
+++ b/mulberrywalk/platform/replica.py
@@ -83,7 +83,7 @@
             for host, address in zip(hosts, settings.seed_peers(), strict=True)
         )
     )
-    storage.found(folder, founders, f'replica-{settings.ip}')
+    storage.create_identity(folder, founders, f'replica-{settings.ip}')
 
 
 def translate(
--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        loaded: storage.Loaded,
+        loaded: storage.LoadedState,
         disk: storage.Disk,
         timing: node.Timing,
         lines: journal.Journal,
@@ -73,9 +73,9 @@
             loaded.log,
             timing,
             vote=loaded.vote,
-            committed=loaded.committed,
+            commit_index=loaded.commit_index,
             now=clock.monotonic_ms(),
-            boot=secrets.randbits(_BOOT_BITS) + 1,
+            boot_id=secrets.randbits(_BOOT_BITS) + 1,
         )
         known = self.node.applied_index - loaded.log.snapshot_index
         self._state_machine = state_machine.StateMachine(
@@ -160,7 +160,7 @@
 
     def has_caught_up(self) -> bool:
         """Return whether all entries of earlier terms are applied."""
-        return self._state_machine.applied_index >= self.node.term_started_index
+        return self._state_machine.applied_index >= self.node.term_start_index
 
     def process_name(self) -> str:
         """Return the name of this process."""
@@ -286,12 +286,12 @@
         index = applied.entry.index
         self._proposals.resolve(index, applied.outcomes())
         is_leading = self.node.role is node.Role.LEADER
-        begins = is_leading and index == self.node.term_started_index
+        begins = is_leading and index == self.node.term_start_index
         if begins:
             self._clock.advance(self.tables.time)
         if begins or applied.entry.kind is message.EntryKind.MEMBERSHIP:
             self.callbacks.on_changed()
-        if is_leading and index > self.node.term_started_index:
+        if is_leading and index > self.node.term_start_index:
             for effects in applied.effects:
                 self.callbacks.on_applied(effects)
 
--- a/mulberrywalk/replica/engine_test.py
+++ b/mulberrywalk/replica/engine_test.py
@@ -23,12 +23,12 @@
 @pytest.fixture
 def folder(tmp_path):
     member = message.Member(message.ReplicaId('a'), 'a:1', 'dc', voter=True)
-    storage.found(tmp_path, message.Membership((member,)), 'a')
+    storage.create_identity(tmp_path, message.Membership((member,)), 'a')
     opened = storage.Disk(tmp_path, storage.load(tmp_path, 'a'))
     written = tuple(map(entry, range(1, ENTRIES + 1)))
     opened.write(
         [node.SaveVote(1, None), node.SaveEntries(written)],
-        committed=ENTRIES // 2,
+        commit_index=ENTRIES // 2,
     )
     opened.close()
     return tmp_path
@@ -107,7 +107,7 @@
 @pytest.fixture
 def leading(tmp_path):
     member = message.Member(message.ReplicaId('a'), 'a:1', 'dc', voter=True)
-    storage.found(tmp_path, message.Membership((member,)), 'a')
+    storage.create_identity(tmp_path, message.Membership((member,)), 'a')
     return open_engine(tmp_path)
 
 
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -130,7 +130,7 @@
             )
             address = leader.address if leader else ''
             return wire.JoinReply(known, address, members)
-        planned = repair.admit(running, request.member)
+        planned = repair.add_learner(running, request.member)
         if planned is not None:
             self._journal.record('spare admitted', request.member.identity)
             self._engine.enqueue(node.MembershipProposed(planned))
@@ -240,10 +240,10 @@
         )
 
     def _repair(self) -> None:
-        planned = repair.plan(
+        planned = repair.plan_membership_change(
             self._engine.node,
-            voters=self._policy.voters,
-            patience_ms=self._policy.repair_after_ms,
+            voter_count=self._policy.voters,
+            timeout_ms=self._policy.repair_after_ms,
         )
         if planned is not None:
             listed = ', '.join(planned.voters())
--- a/mulberrywalk/replica/link.py
+++ b/mulberrywalk/replica/link.py
@@ -134,7 +134,7 @@
         lost.
         """
         replica = self._engine.node
-        if not replica.leader or not election.is_leased(replica):
+        if not replica.leader or not election.may_leader_hold_lease(replica):
             return ''
         member = replica.membership.find(replica.leader)
         is_other = member is not None and replica.leader != replica.identity
--- a/mulberrywalk/replica/program.py
+++ b/mulberrywalk/replica/program.py
@@ -70,7 +70,9 @@
         checker.errors.append(f'--name: {name!r} is not among the founders')
     checker.finish()
     try:
-        storage.found(pathlib.Path(folder), message.Membership(members), name)
+        storage.create_identity(
+            pathlib.Path(folder), message.Membership(members), name
+        )
     except storage.StorageError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(_EXIT_STORAGE) from error
@@ -304,7 +306,7 @@
     """Return whether this replica is a member and hears its leader."""
     replica = running.node
     is_member = replica.membership.find(replica.identity) is not None
-    heard_ago = replica.now - replica.heard_at
+    heard_ago = replica.now - replica.leader_contact_at
     is_led = replica.role is node.Role.LEADER or heard_ago < _UNHEARD_MS
     return is_member and is_led
 
--- a/mulberrywalk/storage/disk.py
+++ b/mulberrywalk/storage/disk.py
@@ -69,17 +69,17 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Loaded:
+class LoadedState:
     """What a data folder held at the start."""
 
     identity: Identity
     vote: node.SaveVote
     log: replica_log.Log
     snapshot: message.Snapshot | None
-    committed: int = 0
+    commit_index: int = 0
 
 
-def found(
+def create_identity(
     folder: pathlib.Path, founders: message.Membership, name: str
 ) -> Identity:
     """Write the identity of a founding voter into an empty folder.
@@ -110,7 +110,7 @@
     return identity
 
 
-def load(folder: pathlib.Path, name: str) -> Loaded:
+def load(folder: pathlib.Path, name: str) -> LoadedState:
     """Read identity, snapshot and log; cut a torn end of the log.
 
     Raises StorageError on damage in the middle of a file: the replica must
@@ -124,7 +124,7 @@
             snapshot.index, snapshot.term, snapshot.membership
         )
     vote = node.SaveVote(0, None)
-    committed = 0
+    commit_index = 0
     segments = _segments(folder)
     for position, path in enumerate(segments):
         is_last = position == len(segments) - 1
@@ -132,16 +132,16 @@
             if isinstance(record, VoteRecord):
                 vote = node.SaveVote(record.term, record.vote)
             elif isinstance(record, CommitRecord):
-                committed = max(committed, record.index)
+                commit_index = max(commit_index, record.index)
             else:
                 _replay(log, record.entries, path)
-    return Loaded(identity, vote, log, snapshot, committed)
+    return LoadedState(identity, vote, log, snapshot, commit_index)
 
 
 class Disk:
     """The open write-ahead log of a data folder."""
 
-    def __init__(self, folder: pathlib.Path, loaded: Loaded) -> None:
+    def __init__(self, folder: pathlib.Path, loaded: LoadedState) -> None:
         """Open a new segment; loaded is what the folder held."""
         self._folder = folder
         self._vote = loaded.vote
@@ -154,11 +154,11 @@
     def write(
         self,
         effects: list[node.SaveVote | node.SaveEntries],
-        committed: int = 0,
+        commit_index: int = 0,
     ) -> None:
         """Append the records of one batch and sync once.
 
-        committed is the index that is known to be committed; a replica that
+        commit_index is the index that is known to be committed; a replica that
         starts again applies up to it before it has heard of a leader. Raises
         StorageError when the disk refuses: nothing of the batch may then be
         acknowledged.
@@ -167,8 +167,8 @@
         if votes:
             self._vote = votes[-1]
         records = [_record(effect) for effect in effects]
-        if committed:
-            records.append(CommitRecord(committed))
+        if commit_index:
+            records.append(CommitRecord(commit_index))
         blob = frame.pack(msgspec.msgpack.encode(records))
         try:
             _write_all(self._descriptor, blob)
--- a/mulberrywalk/storage/disk_test.py
+++ b/mulberrywalk/storage/disk_test.py
@@ -24,7 +24,7 @@
 @pytest.fixture
 def folder(tmp_path):
     founders = message.Membership((member('a'), member('b')))
-    disk.found(tmp_path, founders, 'a')
+    disk.create_identity(tmp_path, founders, 'a')
     return tmp_path
 
 
@@ -51,19 +51,19 @@
 
 def test_load_knows_what_was_committed(folder):
     opened = open_disk(folder)
-    opened.write([entries(1, 5)], committed=2)
-    opened.write([entries(6, 9)], committed=7)
-    assert disk.load(folder, 'a').committed == 7
+    opened.write([entries(1, 5)], commit_index=2)
+    opened.write([entries(6, 9)], commit_index=7)
+    assert disk.load(folder, 'a').commit_index == 7
 
 
 def test_a_torn_end_takes_its_commit_index_with_it(folder):
     opened = open_disk(folder)
-    opened.write([entries(1, 5)], committed=2)
-    opened.write([entries(6, 9)], committed=7)
+    opened.write([entries(1, 5)], commit_index=2)
+    opened.write([entries(6, 9)], commit_index=7)
     path = segments(folder)[-1]
     path.write_bytes(path.read_bytes()[:-1])
     loaded = disk.load(folder, 'a')
-    assert loaded.committed == 2
+    assert loaded.commit_index == 2
     assert loaded.log.last_index() == 5
 
 
@@ -150,7 +150,7 @@
 
 def test_found_refuses_a_used_folder(folder):
     with pytest.raises(disk.StorageError, match='already'):
-        disk.found(folder, message.NOBODY, 'a')
+        disk.create_identity(folder, message.EMPTY_MEMBERSHIP, 'a')
 
 
 def test_load_syncs_what_a_killed_process_had_written(folder, monkeypatch):
--- a/tests/guarantees_test.py
+++ b/tests/guarantees_test.py
@@ -236,7 +236,7 @@
 @given('a replica with a small disk', target_fixture='folder')
 def found_replica(tmp_path):
     member = message.Member(message.ReplicaId('a'), 'a:1', 'dc', voter=True)
-    storage.found(tmp_path, message.Membership((member,)), 'a')
+    storage.create_identity(tmp_path, message.Membership((member,)), 'a')
     return tmp_path
 
 
