--- a/mulberrywalk/consensus/raft.py
+++ b/mulberrywalk/consensus/raft.py
@@ -22,14 +22,14 @@
     *,
     vote: node.SaveVote,
     now: int,
-    commit_index: int = 0,
+    saved_commit_index: int = 0,
     boot_id: int = 0,
 ) -> node.Node:
     """Return the state of a replica that starts from its disk.
 
     All entries of the log count as synced. leader_contact_at is set to now,
     because the replica may have granted a leader a lease before it stopped.
-    commit_index is the commit index read from disk; no Apply effects are
+    saved_commit_index is the commit index read from disk; no Apply effects are
     returned for entries up to it. boot_id is unique to this process; with
     zero the replica waits for the full election timeout before it starts an
     election.
@@ -39,7 +39,7 @@
     state.vote = vote.vote
     state.now = now
     state.leader_contact_at = now
-    known = max(log.snapshot_index, min(commit_index, log.last_index()))
+    known = max(log.snapshot_index, min(saved_commit_index, log.last_index()))
     state.commit_index = known
     state.applied_index = known
     state.synced_index = log.last_index()
--- a/mulberrywalk/consensus/raft_test.py
+++ b/mulberrywalk/consensus/raft_test.py
@@ -33,7 +33,7 @@
     vote: node.SaveVote
     entries: list
     snapshot: message.Snapshot | None = None
-    commit_index: int = 0
+    saved_commit_index: int = 0
     unsynced: list = dataclasses.field(default_factory=list)
     held: list = dataclasses.field(default_factory=list)
 
@@ -90,7 +90,7 @@
             disk.log(self.founders),
             TIMING,
             vote=disk.vote,
-            commit_index=disk.commit_index,
+            saved_commit_index=disk.saved_commit_index,
             now=self.now,
             boot_id=next(self.boots),
         )
@@ -159,7 +159,9 @@
         disk = self.disks[name]
         disk.sync()
         state = self.nodes[name]
-        disk.commit_index = max(disk.commit_index, state.commit_index)
+        disk.saved_commit_index = max(
+            disk.saved_commit_index, state.commit_index
+        )
         self.network.extend(disk.held)
         disk.held.clear()
         self.step(
--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -73,7 +73,7 @@
             loaded.log,
             timing,
             vote=loaded.vote,
-            commit_index=loaded.commit_index,
+            saved_commit_index=loaded.commit_index,
             now=clock.monotonic_ms(),
             boot_id=secrets.randbits(_BOOT_BITS) + 1,
         )
