--- a/mulberrywalk/consensus/__init__.py
+++ b/mulberrywalk/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated log: election, replication, membership, snapshots."""
+"""Raft consensus: leader election, log replication, membership, snapshots."""
--- a/mulberrywalk/consensus/election.py
+++ b/mulberrywalk/consensus/election.py
@@ -1,4 +1,4 @@
-"""Election of a leader: pre-vote, vote and hand-over."""
+"""Leader election: pre-vote, vote and handover."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 def become_follower(
     state: node.Node, term: int, effects: list[node.Effect]
 ) -> None:
-    """Follow in a term; a later term clears the vote and is saved."""
+    """Become a follower in term; a newer term clears the vote and is saved."""
     if term > state.term:
         state.term = term
         state.vote = None
@@ -21,7 +21,7 @@
 def set_role(
     state: node.Node, role: node.Role, effects: list[node.Effect]
 ) -> None:
-    """Take a role and report it when it differs from the present one."""
+    """Change the role and report it if it differs from the current one."""
     if state.role is role:
         return
     state.role = role
@@ -31,7 +31,7 @@
 
 
 def reset_election_timer(state: node.Node) -> None:
-    """Start the election timeout anew."""
+    """Restart the election timer."""
     timeout = node.election_timeout(state)
     if restart_proof.uses_early_timeout(state):
         timeout = restart_proof.early_timeout(state)
@@ -39,16 +39,17 @@
 
 
 def may_leader_hold_lease(state: node.Node) -> bool:
-    """Return whether a leader that was heard may still hold its lease."""
+    """Return whether a leader seen before may still hold its lease."""
     return (
         state.now < state.leader_contact_at + state.timing.election_timeout_ms
     )
 
 
 def is_vote_refused_by_lease(state: node.Node, body: message.Message) -> bool:
-    """Return whether a vote request is ignored without taking its term.
+    """Return whether to ignore a vote request, and its term, due to a lease.
 
-    A removed or cut-off replica must not depose a leader whose lease holds.
+    A removed or partitioned replica must not depose a leader that holds a
+    valid lease.
     """
     if not isinstance(body, message.VoteRequest) or body.handover:
         return False
@@ -60,7 +61,7 @@
 
 
 def start_pre_vote(state: node.Node, effects: list[node.Effect]) -> None:
-    """Ask the voters whether an election could be won."""
+    """Ask the other voters for a pre-vote."""
     state.election_attempts += 1
     reset_election_timer(state)
     if not state.is_voter():
@@ -84,7 +85,7 @@
 def start_election(
     state: node.Node, effects: list[node.Effect], *, handover: bool
 ) -> None:
-    """Start a term, vote for this replica and ask the others."""
+    """Start a new term, vote for this replica and request votes."""
     proof = state.restarted_voters if restart_proof.is_complete(state) else {}
     state.term += 1
     state.vote = state.identity
@@ -107,10 +108,10 @@
 
 
 def become_leader(state: node.Node, effects: list[node.Effect]) -> None:
-    """Become the leader and append the first entry of the term.
+    """Become the leader and append a no-op entry.
 
-    That entry carries earlier entries to their commit, which a leader may
-    not count by replicas alone.
+    A leader must not commit entries of earlier terms by counting replicas;
+    they are committed together with the no-op entry of its own term.
     """
     set_role(state, node.Role.LEADER, effects)
     state.has_seen_leader = True
@@ -130,9 +131,10 @@
 def track_progress(
     state: node.Node, peer: message.ReplicaId, *, is_new: bool = False
 ) -> None:
-    """Start to follow the progress of another replica.
+    """Start tracking the replication progress of another replica.
 
-    One that is new to the membership may have an empty log.
+    is_new is set for a replica just added to the membership: its log may be
+    empty, so replication starts at the first index.
     """
     if peer not in state.progress:
         state.progress[peer] = node.Progress(
@@ -147,17 +149,22 @@
     body: message.PreVoteRequest,
     effects: list[node.Effect],
 ) -> None:
-    """Say whether this replica would vote; nothing is promised."""
-    is_free = not (
+    """Answer a pre-vote request; granting it promises nothing."""
+    is_unleased = not (
         state.role is node.Role.LEADER or may_leader_hold_lease(state)
     )
-    is_current = _is_current(state, body.last_index, body.last_term)
-    granted = is_free and body.term > state.term and is_current
-    if not is_current and (is_free or restart_proof.has_seen_no_leader(state)):
-        # The sender cannot win and this replica may: it need not wait on.
+    is_log_up_to_date = _is_log_up_to_date(
+        state, body.last_index, body.last_term
+    )
+    granted = is_unleased and body.term > state.term and is_log_up_to_date
+    if not is_log_up_to_date and (
+        is_unleased or restart_proof.has_seen_no_leader(state)
+    ):
+        # The sender's log is behind, so it cannot win this vote: start an
+        # election here without waiting for the timeout.
         state.election_due_at = min(state.election_due_at, state.now)
-    # A refusal tells the own term, so that a candidate whose log is the
-    # longest but whose term is behind does not ask in vain for ever.
+    # A refusal carries the term of this replica. Otherwise a candidate that
+    # has the longest log but a lower term would be refused forever.
     reply = message.PreVoteReply(
         body.term if granted else state.term,
         granted,
@@ -172,7 +179,7 @@
     body: message.PreVoteReply,
     effects: list[node.Effect],
 ) -> None:
-    """Count a pre-vote and start the election when a quorum agrees."""
+    """Count a pre-vote; start an election on a quorum or a restart proof."""
     if state.role is not node.Role.PRE_CANDIDATE:
         return
     if not body.granted and body.term > state.term:
@@ -191,12 +198,12 @@
     body: message.VoteRequest,
     effects: list[node.Effect],
 ) -> None:
-    """Vote once a term, for a candidate whose log is as complete."""
+    """Vote for at most one candidate per term, if its log is up to date."""
     granted = (
         body.term == state.term
         and state.role is node.Role.FOLLOWER
         and state.vote in {None, sender}
-        and _is_current(state, body.last_index, body.last_term)
+        and _is_log_up_to_date(state, body.last_index, body.last_term)
     )
     if granted and state.vote is None:
         state.vote = sender
@@ -212,7 +219,7 @@
     body: message.VoteReply,
     effects: list[node.Effect],
 ) -> None:
-    """Count a vote and lead when a quorum has voted."""
+    """Count a vote and become the leader on a quorum."""
     if state.role is not node.Role.CANDIDATE or body.term != state.term:
         return
     if body.granted:
@@ -227,9 +234,9 @@
     body: message.HandoverRequest,
     effects: list[node.Effect],
 ) -> None:
-    """Stand for election at once, as the leader asked."""
-    is_asked_by_leader = body.term == state.term and state.leader == sender
-    if is_asked_by_leader and state.is_voter():
+    """Start an election immediately if the current leader requested it."""
+    is_from_leader = body.term == state.term and state.leader == sender
+    if is_from_leader and state.is_voter():
         start_election(state, effects, handover=True)
 
 
@@ -238,9 +245,11 @@
     return len(state.votes_granted & voters) >= state.membership.quorum()
 
 
-def _is_current(state: node.Node, last_index: int, last_term: int) -> bool:
-    own = (state.log.last_term(), state.log.last_index())
-    return (last_term, last_index) >= own
+def _is_log_up_to_date(
+    state: node.Node, last_index: int, last_term: int
+) -> bool:
+    own_last = (state.log.last_term(), state.log.last_index())
+    return (last_term, last_index) >= own_last
 
 
 def _broadcast(
@@ -250,7 +259,10 @@
     *,
     is_after_sync: bool,
 ) -> None:
-    voters = [one for one in state.membership.voters() if one != state.identity]
+    receivers = [
+        voter for voter in state.membership.voters() if voter != state.identity
+    ]
     effects.extend(
-        node.Send(voter, body, is_after_sync=is_after_sync) for voter in voters
+        node.Send(receiver, body, is_after_sync=is_after_sync)
+        for receiver in receivers
     )
--- a/mulberrywalk/consensus/leadership.py
+++ b/mulberrywalk/consensus/leadership.py
@@ -1,4 +1,4 @@
-"""The leader's side of the log: proposals, appends, hand-over."""
+"""The leader's side of replication: proposals, appends and handover."""
 
 from __future__ import annotations
 
@@ -6,37 +6,41 @@
 
 from . import election, message, node, replication
 
-_HANDOVER_MS = 1000
-_SNAPSHOT_RETRY_MS = 1000
+_HANDOVER_TIMEOUT_MS = 1000
+_SNAPSHOT_RETRY_INTERVAL_MS = 1000
 
 
 def maintain_leadership(state: node.Node, effects: list[node.Effect]) -> None:
-    """Send heartbeats, and step down when a quorum stays silent."""
-    silent_ms = state.now - node.quorum_contact_at(state)
-    patience_ms = (
+    """Send heartbeats, or step down if the quorum or a handover timed out."""
+    since_quorum_ms = state.now - node.quorum_contact_at(state)
+    step_down_ms = (
         state.timing.election_timeout_ms
         + 2 * state.timing.heartbeat_interval_ms
     )
-    if silent_ms >= patience_ms:
+    if since_quorum_ms >= step_down_ms:
         election.become_follower(state, state.term, effects)
         state.leader = None
         return
     if state.handover_to is not None and state.now >= state.handover_until:
-        # The request may still arrive, so the lease of this term is void.
+        # The handover request may still arrive and start an election that
+        # bypasses the lease, so the lease of this term is no longer valid.
         election.become_follower(state, state.term, effects)
         state.leader = None
         return
     if state.now >= state.heartbeat_due_at:
         state.heartbeat_due_at = state.now + state.timing.heartbeat_interval_ms
         for peer in state.peers():
-            _probe_again(state, peer)
+            _probe_if_silent(state, peer)
             _send_heartbeat(state, peer, effects)
 
 
 def propose(
-    state: node.Node, entered: node.Proposed, effects: list[node.Effect]
+    state: node.Node, event: node.Proposed, effects: list[node.Effect]
 ) -> None:
-    """Append commands and send them on; a follower ignores them."""
+    """Append commands and replicate them.
+
+    Ignored unless this replica is the leader and no handover is in progress.
+    """
     if state.role is not node.Role.LEADER or state.handover_to is not None:
         return
     first = state.log.last_index() + 1
@@ -44,37 +48,37 @@
         message.LogEntry(
             first + offset, state.term, message.EntryKind.COMMAND, payload
         )
-        for offset, payload in enumerate(entered.payloads)
+        for offset, payload in enumerate(event.payloads)
     )
     _append(state, entries, effects)
 
 
 def propose_membership(
     state: node.Node,
-    entered: node.MembershipProposed,
+    event: node.MembershipProposed,
     effects: list[node.Effect],
 ) -> None:
-    """Append a membership that differs by one replica.
+    """Append a membership that differs by at most one voter.
 
-    Refused while another change is uncommitted or before the leader has
-    committed an entry of its own term, for two changes at once can give two
-    quorums that do not meet.
+    Ignored while another change is uncommitted and until the leader has
+    committed an entry of its own term: two concurrent changes can lead to two
+    quorums that do not intersect.
     """
     if not can_change_membership(state):
         return
-    if not _differs_by_one(state.membership, entered.membership):
+    if not _differs_by_one(state.membership, event.membership):
         return
     entry = message.LogEntry(
         state.log.last_index() + 1,
         state.term,
         message.EntryKind.MEMBERSHIP,
-        msgspec.msgpack.encode(entered.membership),
+        msgspec.msgpack.encode(event.membership),
     )
     _append(state, (entry,), effects)
 
 
 def can_change_membership(state: node.Node) -> bool:
-    """Return whether a membership change may start now."""
+    """Return whether this replica may propose a membership change now."""
     if state.role is not node.Role.LEADER or state.handover_to is not None:
         return False
     if state.commit_index < state.term_start_index:
@@ -85,26 +89,28 @@
 
 def start_handover(
     state: node.Node,
-    entered: node.HandoverProposed,
+    event: node.HandoverProposed,
     effects: list[node.Effect],
 ) -> None:
-    """Choose the most complete voter and let it stand for election."""
+    """Transfer leadership to the voter whose log is the most complete."""
     if state.role is not node.Role.LEADER or state.handover_to is not None:
         return
-    voters = [one for one in state.membership.voters() if one in state.progress]
+    voters = [
+        voter for voter in state.membership.voters() if voter in state.progress
+    ]
     if not voters:
         return
-    chosen = max(
+    successor = max(
         voters,
         key=lambda voter: (
             state.progress[voter].match_index,
             state.progress[voter].acknowledged_at,
         ),
     )
-    state.handover_to = chosen
-    state.handover_until = state.now + _HANDOVER_MS
-    _send_append(state, chosen, effects)
-    _finish_handover(state, effects)
+    state.handover_to = successor
+    state.handover_until = state.now + _HANDOVER_TIMEOUT_MS
+    _send_append(state, successor, effects)
+    _request_handover_if_ready(state, effects)
 
 
 def handle_append_reply(
@@ -113,7 +119,7 @@
     body: message.AppendReply,
     effects: list[node.Effect],
 ) -> None:
-    """Note how far a replica's log agrees and send what it lacks."""
+    """Update a replica's progress and send the entries that it lacks."""
     if state.role is not node.Role.LEADER or body.term != state.term:
         return
     if sender not in state.progress:
@@ -124,7 +130,7 @@
         progress.is_probing = False
         progress.match_index = max(progress.match_index, body.match)
         progress.next_index = max(progress.next_index, body.match + 1)
-        _finish_handover(state, effects)
+        _request_handover_if_ready(state, effects)
     else:
         progress.is_probing = True
         progress.next_index = max(
@@ -142,17 +148,17 @@
     for entry in entries:
         state.log.append(entry)
     effects.append(node.SaveEntries(entries))
-    _adopt_membership(state, entries)
+    _apply_membership(state, entries)
     for peer in state.peers():
         if not state.progress[peer].is_probing:
             _send_append(state, peer, effects)
 
 
-def _adopt_membership(
+def _apply_membership(
     state: node.Node, entries: tuple[message.LogEntry, ...]
 ) -> None:
-    # A membership is in force as soon as it stands in the log.
-    if any(one.kind is message.EntryKind.MEMBERSHIP for one in entries):
+    # A membership takes effect when it is appended, before it is committed.
+    if any(entry.kind is message.EntryKind.MEMBERSHIP for entry in entries):
         replication.refresh_membership(state)
 
 
@@ -160,8 +166,9 @@
     return len(set(old.voters()) ^ set(new.voters())) <= 1
 
 
-def _probe_again(state: node.Node, peer: message.ReplicaId) -> None:
-    # Messages may have been lost: after silence, restart from what is known.
+def _probe_if_silent(state: node.Node, peer: message.ReplicaId) -> None:
+    # Messages may have been lost. After an election timeout without a reply,
+    # resume from the last index that is known to match.
     progress = state.progress[peer]
     if state.now - progress.acknowledged_at > state.timing.election_timeout_ms:
         progress.is_probing = True
@@ -172,11 +179,12 @@
     state: node.Node, peer: message.ReplicaId, effects: list[node.Effect]
 ) -> None:
     progress = state.progress[peer]
-    sent = len(effects)
+    previous_count = len(effects)
     _send_append(state, peer, effects)
-    if len(effects) > sent:
+    if len(effects) > previous_count:
         return
-    # A snapshot is under way: its receiver still has to hear the leader.
+    # A snapshot transfer is in progress. Its receiver still needs heartbeats,
+    # or its election timer would expire.
     log = state.log
     request = message.AppendRequest(
         state.term,
@@ -193,20 +201,21 @@
     state: node.Node, peer: message.ReplicaId, effects: list[node.Effect]
 ) -> None:
     progress = state.progress[peer]
-    previous = progress.next_index - 1
-    previous_term = state.log.term_at(previous)
+    previous_index = progress.next_index - 1
+    previous_term = state.log.term_at(previous_index)
     if previous_term is None:
         _send_snapshot(state, peer, effects)
         return
     entries: tuple[message.LogEntry, ...] = ()
-    # A newcomer knows nobody to answer to before it has the first entries.
+    # A new replica has no membership, and so no address to reply to, until
+    # it has the first entries: they are sent even while probing.
     if not progress.is_probing or progress.next_index == 1:
         entries = state.log.slice(
             progress.next_index, state.timing.max_batch_entries
         )
     request = message.AppendRequest(
         state.term,
-        previous,
+        previous_index,
         previous_term,
         entries,
         state.commit_index,
@@ -222,15 +231,17 @@
 ) -> None:
     progress = state.progress[peer]
     progress.is_probing = True
-    if state.now >= progress.snapshot_sent_at + _SNAPSHOT_RETRY_MS:
+    if state.now >= progress.snapshot_sent_at + _SNAPSHOT_RETRY_INTERVAL_MS:
         progress.snapshot_sent_at = state.now
         effects.append(node.SendSnapshot(peer, state.term, state.now))
 
 
-def _finish_handover(state: node.Node, effects: list[node.Effect]) -> None:
-    chosen = state.handover_to
-    if chosen is None:
+def _request_handover_if_ready(
+    state: node.Node, effects: list[node.Effect]
+) -> None:
+    successor = state.handover_to
+    if successor is None:
         return
-    if state.progress[chosen].match_index == state.log.last_index():
+    if state.progress[successor].match_index == state.log.last_index():
         request = message.HandoverRequest(state.term)
-        effects.append(node.Send(chosen, request, is_after_sync=False))
+        effects.append(node.Send(successor, request, is_after_sync=False))
--- a/mulberrywalk/consensus/log.py
+++ b/mulberrywalk/consensus/log.py
@@ -1,4 +1,4 @@
-"""The entries of one replica that follow its last snapshot, in memory."""
+"""The in-memory log of one replica, starting after its latest snapshot."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Log:
-    """Entries after a snapshot; indexes start at one."""
+    """Log entries that follow a snapshot; the first index is one."""
 
     snapshot_index: int
     snapshot_term: int
@@ -29,7 +29,10 @@
         return self.snapshot_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term at an index; None when it is not held."""
+        """Return the term of the entry at index, or None if it is not held.
+
+        The term of the snapshot is returned for the index of the snapshot.
+        """
         if index == self.snapshot_index:
             return self.snapshot_term
         position = index - self.snapshot_index - 1
@@ -38,41 +41,47 @@
         return None
 
     def slice(self, first: int, limit: int) -> tuple[message.LogEntry, ...]:
-        """Return at most limit entries from the index first on."""
+        """Return at most limit entries starting at index first."""
         start = first - self.snapshot_index - 1
         return tuple(self.entries[start : start + limit])
 
     def append(self, entry: message.LogEntry) -> None:
-        """Add the entry that follows the last one."""
+        """Append an entry, whose index must follow the last one."""
         if entry.index != self.last_index() + 1:
             raise AssertionError(
-                f'entry {entry.index} after {self.last_index()}'
+                f'entry {entry.index} does not follow {self.last_index()}'
             )
         self.entries.append(entry)
 
     def truncate(self, first: int) -> None:
-        """Drop the entries from the index first on."""
-        keep = first - self.snapshot_index - 1
-        # In place: most calls drop nothing from a long log.
-        del self.entries[keep:]
+        """Remove all entries from index first to the end."""
+        kept_count = first - self.snapshot_index - 1
+        # In place, because most calls remove nothing from a long log and a
+        # slice would copy it.
+        del self.entries[kept_count:]
 
     def compact(self, index: int, membership: message.Membership) -> None:
-        """Drop the entries up to an index that a snapshot covers."""
+        """Remove the entries up to index, which a snapshot covers.
+
+        membership is the membership at that index.
+        """
         term = self.term_at(index)
         if term is None:
-            raise AssertionError(f'no entry {index} to compact to')
+            raise AssertionError(
+                f'cannot compact to {index}: entry not in the log'
+            )
         self.entries = self.entries[index - self.snapshot_index :]
         self.snapshot_index = index
         self.snapshot_term = term
         self.snapshot_membership = membership
 
     def membership_at(self, index: int) -> message.Membership:
-        """Return the latest membership at or before an index."""
-        held = index - self.snapshot_index
+        """Return the membership in effect at index."""
+        entry_count = index - self.snapshot_index
         latest = next(
             (
                 entry
-                for entry in reversed(self.entries[:held])
+                for entry in reversed(self.entries[:entry_count])
                 if entry.kind is message.EntryKind.MEMBERSHIP
             ),
             None,
--- a/mulberrywalk/consensus/message.py
+++ b/mulberrywalk/consensus/message.py
@@ -1,6 +1,6 @@
-"""Records of the replicated log and the messages between its replicas.
+"""Entries of the replicated log and the messages between its replicas.
 
-Times are milliseconds of the monotonic clock of the process that wrote them.
+Times are in milliseconds of the monotonic clock of the process that set them.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class EntryKind(enum.Enum):
-    """What the payload of a log entry holds."""
+    """The kind of a log entry, which determines what its payload holds."""
 
     NOOP = 'noop'
     COMMAND = 'command'
@@ -24,7 +24,7 @@
 
 
 class LogEntry(msgspec.Struct, frozen=True, array_like=True):
-    """One numbered entry of the replicated log."""
+    """An entry of the replicated log, identified by its index and term."""
 
     index: int
     term: int
@@ -33,7 +33,7 @@
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A replica, where it listens, and whether it votes."""
+    """A replica, its listen address, and whether it is a voter."""
 
     identity: ReplicaId
     address: str
@@ -42,37 +42,40 @@
 
 
 class Membership(msgspec.Struct, frozen=True):
-    """The replicas that hold the log, voters and learners."""
+    """The voters and learners that replicate the log."""
 
     members: tuple[Member, ...]
 
     def voters(self) -> list[ReplicaId]:
-        """Return the identities that vote."""
-        return [one.identity for one in self.members if one.voter]
+        """Return the identities of the voters."""
+        return [member.identity for member in self.members if member.voter]
 
     def identities(self) -> list[ReplicaId]:
         """Return the identities of voters and learners."""
-        return [one.identity for one in self.members]
+        return [member.identity for member in self.members]
 
     def find(self, identity: ReplicaId) -> Member | None:
-        """Return the member of that identity, or None."""
+        """Return the member with the given identity, or None."""
         return next(
-            (one for one in self.members if one.identity == identity), None
+            (member for member in self.members if member.identity == identity),
+            None,
         )
 
     def quorum(self) -> int:
-        """Return how many voters decide."""
+        """Return the number of voters that form a majority."""
         return len(self.voters()) // 2 + 1
 
     def replace(self, member: Member) -> Membership:
-        """Return the membership with this member added or changed."""
+        """Return a copy in which the given member is added or replaced."""
         others = self.remove(member.identity).members
         return Membership((*others, member))
 
     def remove(self, identity: ReplicaId) -> Membership:
-        """Return the membership without that identity."""
+        """Return a copy without the member of the given identity."""
         return Membership(
-            tuple(one for one in self.members if one.identity != identity)
+            tuple(
+                member for member in self.members if member.identity != identity
+            )
         )
 
 
@@ -80,7 +83,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The applied state up to and including one index."""
+    """The state after applying all entries up to and including index."""
 
     index: int
     term: int
@@ -89,9 +92,9 @@
 
 
 class PreVoteRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks whether an election at this term could be won.
+    """Asks whether the receiver would vote for the sender in this term.
 
-    asked_at is of the sender's clock, for what comes back.
+    asked_at is the sender's clock; the reply echoes it.
     """
 
     term: int
@@ -101,10 +104,12 @@
 
 
 class PreVoteReply(msgspec.Struct, frozen=True, tag=True):
-    """Answers a pre-vote; the term is the one that was asked about.
+    """Answers a pre-vote request.
 
-    boot names the process that answers, zero once it has heard of a leader;
-    it has been up for uptime_ms.
+    The term is the requested one if the pre-vote is granted, and otherwise
+    the current term of the replier. boot is the boot ID of the replying
+    process, or zero once it has seen a leader; uptime_ms is the time since
+    that process started.
     """
 
     term: int
@@ -115,10 +120,11 @@
 
 
 class VoteRequest(msgspec.Struct, frozen=True, tag=True):
-    """Asks for the vote; a hand-over skips the leader lease.
+    """Requests a vote; a handover bypasses the leader lease.
 
-    restarted proves that there is none: the boot of every voter, if all have
-    said that they have started anew.
+    restarted proves that no leader holds a lease: it maps every voter to its
+    boot ID if all of them replied that they have seen no leader since they
+    started. Otherwise it is empty.
     """
 
     term: int
@@ -129,14 +135,14 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, tag=True):
-    """Answers a request for the vote."""
+    """Answers a vote request."""
 
     term: int
     granted: bool
 
 
 class AppendRequest(msgspec.Struct, frozen=True, tag=True):
-    """Carries entries and the commit index; empty as a heartbeat."""
+    """Carries entries and the commit index; without entries, a heartbeat."""
 
     term: int
     previous_index: int
@@ -147,10 +153,11 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, tag=True):
-    """Answers an append; sent_at is echoed to prove the leader lease.
+    """Answers an append request.
 
-    match is the last index known to agree when it succeeded, and otherwise
-    the index from which the leader should try again.
+    sent_at echoes the request and extends the leader lease. match is the last
+    index at which the logs are known to match if the append succeeded, and
+    otherwise the index from which the leader should retry.
     """
 
     term: int
@@ -160,7 +167,7 @@
 
 
 class SnapshotRequest(msgspec.Struct, frozen=True, tag=True):
-    """Replaces the log of a replica that is behind its start."""
+    """Replaces the log of a replica that needs entries already compacted."""
 
     term: int
     snapshot: Snapshot
@@ -168,7 +175,10 @@
 
 
 class HandoverRequest(msgspec.Struct, frozen=True, tag=True):
-    """Tells a voter that has the whole log to stand for election now."""
+    """Tells an up-to-date voter to start an election immediately.
+
+    This is the TimeoutNow request of the Raft dissertation.
+    """
 
     term: int
 
--- a/mulberrywalk/consensus/node.py
+++ b/mulberrywalk/consensus/node.py
@@ -1,4 +1,4 @@
-"""State of one replica's consensus, its inputs and its effects."""
+"""The Raft state of one replica, and the inputs and effects of its reducer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Role(enum.Enum):
-    """What a replica does in its term."""
+    """The Raft role of a replica in its current term."""
 
     FOLLOWER = 'follower'
     PRE_CANDIDATE = 'pre_candidate'
@@ -22,13 +22,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Timing:
-    """Intervals of the consensus in milliseconds.
+    """Timing and batching parameters; times are in milliseconds.
 
-    The election timeout of a replica is randomized between
-    election_timeout_ms and twice that; election_timeout_ms is also the
-    duration of the leader lease. clock_drift_ms is subtracted from the lease
-    to allow for clocks that run at different rates. max_batch_entries is the
-    largest number of entries in one append request.
+    The election timeout of a replica lies between election_timeout_ms and
+    twice that. A leader lease lasts election_timeout_ms less clock_drift_ms,
+    which allows for clocks that run at different rates. max_batch_entries is
+    the maximum number of entries in an append request.
     """
 
     heartbeat_interval_ms: int = 100
@@ -39,10 +38,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Progress:
-    """What the leader knows of one other replica.
+    """The leader's view of another replica.
 
-    acknowledged_at is the leader's clock when it sent the newest message that
-    this replica has answered; snapshot_sent_at when it last sent a snapshot.
+    acknowledged_at is when the leader sent the latest message that this
+    replica has answered, and snapshot_sent_at when it last sent a snapshot,
+    both in milliseconds of the leader's clock. While is_probing is set, the
+    leader does not know where the logs match: next_index does not advance
+    until an append succeeds.
     """
 
     next_index: int
@@ -54,7 +56,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """The consensus state of one replica.
+    """The Raft state of one replica.
 
     synced_index is the last index synced to disk. leader_contact_at is when
     the replica last received a message from the current leader.
@@ -63,9 +65,9 @@
     term_start_index the index of the first entry that it appended in its
     term. handover_to is the voter that leadership is being transferred to,
     until handover_until. boot_id identifies this process; zero disables the
-    restart proof. restarted_voters maps the voters that replied to the
-    pre-vote of pre_vote_sent_at that they have seen no leader since they
-    started to their boot IDs. All times are in milliseconds.
+    restart proof. restarted_voters holds the boot IDs of the voters that have
+    seen no leader since they started, according to their replies to the
+    pre-vote sent at pre_vote_sent_at. All times are in milliseconds.
     """
 
     identity: message.ReplicaId
@@ -103,19 +105,21 @@
     )
 
     def is_voter(self) -> bool:
-        """Return whether this replica votes in the latest membership."""
+        """Return whether this replica is a voter in the latest membership."""
         return self.identity in self.membership.voters()
 
     def peers(self) -> list[message.ReplicaId]:
         """Return the other replicas of the latest membership."""
         return [
-            one for one in self.membership.identities() if one != self.identity
+            replica
+            for replica in self.membership.identities()
+            if replica != self.identity
         ]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """The monotonic clock in milliseconds."""
+    """Advances the monotonic clock, in milliseconds."""
 
     now: int
 
@@ -130,7 +134,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Synced:
-    """The log is on the disk up to this index, written in this term."""
+    """The log is synced to disk up to the entry of this index and term."""
 
     index: int
     term: int
@@ -138,26 +142,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Proposed:
-    """Commands to append; ignored by a replica that does not lead."""
+    """Commands to append; ignored by a replica that is not the leader."""
 
     payloads: tuple[bytes, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipProposed:
-    """A membership that differs from the present one in one replica."""
+    """A membership that differs from the current one by at most one voter."""
 
     membership: message.Membership
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandoverProposed:
-    """The leader is to give its office to a voter."""
+    """Requests a transfer of leadership to another voter."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Compacted:
-    """A snapshot up to this index is on the disk."""
+    """A snapshot up to this index has been synced to disk."""
 
     index: int
 
@@ -175,7 +179,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Send:
-    """A message to send; after the next sync where it vouches for the disk."""
+    """Sends a message.
+
+    is_after_sync is set if the message relies on a vote or entries that must
+    be synced to disk before it is sent.
+    """
 
     receiver: message.ReplicaId
     body: message.Message
@@ -184,7 +192,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SaveVote:
-    """Term and vote to write and sync."""
+    """Writes term and vote to disk and syncs them."""
 
     term: int
     vote: message.ReplicaId | None
@@ -192,14 +200,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SaveEntries:
-    """Entries to write and sync; they replace all from the first's index."""
+    """Writes entries to disk and syncs them.
+
+    They replace all saved entries from the index of the first one on.
+    """
 
     entries: tuple[message.LogEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendSnapshot:
-    """The latest snapshot on the disk is to be sent to a replica."""
+    """Sends the latest snapshot on disk to a replica."""
 
     receiver: message.ReplicaId
     term: int
@@ -208,21 +219,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstallSnapshot:
-    """Replaces the state and the log by a received snapshot, synced."""
+    """Replaces state and log with a received snapshot and syncs it to disk."""
 
     snapshot: message.Snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Apply:
-    """A committed entry, handed out once and in order."""
+    """Applies a committed entry; emitted once per entry, in index order."""
 
     entry: message.LogEntry
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleChanged:
-    """The replica took another role."""
+    """Reports that the role of the replica has changed."""
 
     role: Role
     term: int
@@ -240,21 +251,23 @@
 
 
 def election_timeout(node: Node) -> int:
-    """Return the spread election timeout of this replica in milliseconds.
+    """Return the election timeout of this replica in milliseconds.
 
-    The spread comes from a checksum of identity and attempt, so that the
-    reducer needs no randomness and two replicas rarely collide twice.
+    The timeout varies with a checksum of identity, term and attempt, so that
+    the reducer stays deterministic and two replicas rarely time out together
+    twice in a row.
     """
     seed = f'{node.identity}/{node.term}/{node.election_attempts}'.encode()
-    spread = zlib.crc32(seed) % node.timing.election_timeout_ms
-    return node.timing.election_timeout_ms + spread
+    jitter_ms = zlib.crc32(seed) % node.timing.election_timeout_ms
+    return node.timing.election_timeout_ms + jitter_ms
 
 
 def holds_lease(node: Node, now: int) -> bool:
-    """Return whether no other replica can lead at this time.
+    """Return whether this replica is the leader and holds a valid lease.
 
-    True on a leader while a quorum has confirmed it within the election
-    timeout less the drift of clocks, and no hand-over is under way.
+    While it does, no other replica can become leader. The lease is valid if a
+    quorum has answered messages sent within the last election_timeout_ms less
+    clock_drift_ms and no handover is in progress.
     """
     if node.role is not Role.LEADER or node.handover_to is not None:
         return False
@@ -264,8 +277,11 @@
 
 
 def quorum_contact_at(node: Node) -> int:
-    """Return the latest send time that a quorum of voters has answered."""
-    times = sorted(
+    """Return the latest time such that a quorum answered messages sent since.
+
+    The time is in milliseconds of the clock of this replica, the leader.
+    """
+    acknowledged = sorted(
         (
             node.now
             if voter == node.identity
@@ -274,4 +290,4 @@
         ),
         reverse=True,
     )
-    return times[node.membership.quorum() - 1]
+    return acknowledged[node.membership.quorum() - 1]
--- a/mulberrywalk/consensus/raft.py
+++ b/mulberrywalk/consensus/raft.py
@@ -1,8 +1,8 @@
-"""The consensus reducer, Raft as published, without input or output.
+"""The Raft reducer, which performs no input or output itself.
 
-step takes one input and returns the effects to carry out. Messages marked
-is_after_sync may leave only when all SaveVote and SaveEntries effects up to
-them are on the disk; the caller then reports Synced.
+step applies one input and returns the effects to execute. Messages marked
+is_after_sync may be sent only after all preceding SaveVote and SaveEntries
+effects have been synced to disk; the caller then reports Synced.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     saved_commit_index: int = 0,
     boot_id: int = 0,
 ) -> node.Node:
-    """Return the state of a replica that starts from its disk.
+    """Return the initial state of a replica restored from its disk.
 
     All entries of the log count as synced. leader_contact_at is set to now,
     because the replica may have granted a leader a lease before it stopped.
@@ -39,9 +39,11 @@
     state.vote = vote.vote
     state.now = now
     state.leader_contact_at = now
-    known = max(log.snapshot_index, min(saved_commit_index, log.last_index()))
-    state.commit_index = known
-    state.applied_index = known
+    restored = max(
+        log.snapshot_index, min(saved_commit_index, log.last_index())
+    )
+    state.commit_index = restored
+    state.applied_index = restored
     state.synced_index = log.last_index()
     state.membership = log.membership_at(log.last_index())
     state.boot_id = boot_id
@@ -50,33 +52,35 @@
     return state
 
 
-def step(state: node.Node, entered: node.Input) -> list[node.Effect]:
+def step(state: node.Node, event: node.Input) -> list[node.Effect]:
     """Apply one input to the state and return the effects in order.
 
-    The state is changed in place: it belongs to this reducer alone.
+    The state is modified in place; only this reducer may change it.
     """
     effects: list[node.Effect] = []
-    _INPUTS[type(entered)](state, entered, effects)
+    _INPUTS[type(event)](state, event, effects)
     replication.commit_and_apply(state, effects)
     return effects
 
 
 def _receive(
-    state: node.Node, entered: node.Received, effects: list[node.Effect]
+    state: node.Node, event: node.Received, effects: list[node.Effect]
 ) -> None:
-    body = entered.body
-    is_trial = isinstance(body, message.PreVoteRequest | message.PreVoteReply)
-    if body.term > state.term and not is_trial:
+    body = event.body
+    is_pre_vote = isinstance(
+        body, message.PreVoteRequest | message.PreVoteReply
+    )
+    if body.term > state.term and not is_pre_vote:
         if election.is_vote_refused_by_lease(state, body):
             return
         election.become_follower(state, body.term, effects)
-    _MESSAGES[type(body)](state, entered.sender, body, effects)
+    _MESSAGES[type(body)](state, event.sender, body, effects)
 
 
 def _tick(
-    state: node.Node, entered: node.Tick, effects: list[node.Effect]
+    state: node.Node, event: node.Tick, effects: list[node.Effect]
 ) -> None:
-    state.now = max(state.now, entered.now)
+    state.now = max(state.now, event.now)
     if state.role is node.Role.LEADER:
         leadership.maintain_leadership(state, effects)
     elif state.now >= state.election_due_at:
--- a/mulberrywalk/consensus/raft_test.py
+++ b/mulberrywalk/consensus/raft_test.py
@@ -1,4 +1,4 @@
-"""Drives replicas through crashes, cuts, pauses and membership changes."""
+"""Tests Raft under crashes, partitions, pauses and membership changes."""
 
 import dataclasses
 import itertools
@@ -28,41 +28,47 @@
 
 @dataclasses.dataclass
 class Disk:
-    """What survives a crash, and what was not yet synced."""
+    """Simulates the disk of a replica.
+
+    unsynced holds the writes that a crash loses, and outbox the messages to
+    send after the next sync.
+    """
 
     vote: node.SaveVote
     entries: list
     snapshot: message.Snapshot | None = None
     saved_commit_index: int = 0
     unsynced: list = dataclasses.field(default_factory=list)
-    held: list = dataclasses.field(default_factory=list)
+    outbox: list = dataclasses.field(default_factory=list)
 
     def sync(self):
-        for saved in self.unsynced:
-            if isinstance(saved, node.SaveVote):
-                self.vote = saved
+        for effect in self.unsynced:
+            if isinstance(effect, node.SaveVote):
+                self.vote = effect
             else:
-                first = saved.entries[0].index
-                kept = [one for one in self.entries if one.index < first]
-                self.entries = [*kept, *saved.entries]
+                first = effect.entries[0].index
+                kept = [entry for entry in self.entries if entry.index < first]
+                self.entries = [*kept, *effect.entries]
         self.unsynced.clear()
 
     def log(self, founders):
-        base = log.Log(0, 0, founders)
+        restored = log.Log(0, 0, founders)
         if self.snapshot:
-            taken = self.snapshot
-            base = log.Log(taken.index, taken.term, taken.membership)
+            snapshot = self.snapshot
+            restored = log.Log(
+                snapshot.index, snapshot.term, snapshot.membership
+            )
         for entry in self.entries:
-            if entry.index > base.snapshot_index:
-                base.append(entry)
-        return base
+            if entry.index > restored.snapshot_index:
+                restored.append(entry)
+        return restored
 
 
-class World:
-    """Replicas, their disks and the messages between them."""
+class Cluster:
+    """Simulates replicas, their disks and the network between them."""
 
     def __init__(self, count):
-        names = [message.ReplicaId(f'n{place}') for place in range(count)]
+        names = [message.ReplicaId(f'n{number}') for number in range(count)]
         self.founders = message.Membership(
             tuple(message.Member(name, name, 'dc', True) for name in names)
         )
@@ -70,13 +76,13 @@
         self.nodes = {}
         self.disks = {}
         self.network = []
-        self.cuts = set()
+        self.blocked_links = set()
         self.paused = set()
         self.applied = {}
         self.committed = {}
         self.leaders = {}
-        self.count = itertools.count(1)
-        self.boots = itertools.count(1)
+        self.payload_numbers = itertools.count(1)
+        self.boot_ids = itertools.count(1)
         for name in names:
             self.disks[name] = Disk(node.SaveVote(0, None), [])
             self.start(name)
@@ -84,7 +90,7 @@
     def start(self, name):
         disk = self.disks[name]
         disk.unsynced.clear()
-        disk.held.clear()
+        disk.outbox.clear()
         state = raft.create(
             name,
             disk.log(self.founders),
@@ -92,66 +98,72 @@
             vote=disk.vote,
             saved_commit_index=disk.saved_commit_index,
             now=self.now,
-            boot_id=next(self.boots),
+            boot_id=next(self.boot_ids),
         )
         self.nodes[name] = state
-        held = disk.snapshot.payload if disk.snapshot else b'[]'
-        self.applied[name] = msgspec.json.decode(held)
+        payload = disk.snapshot.payload if disk.snapshot else b'[]'
+        self.applied[name] = msgspec.json.decode(payload)
         for entry in state.log.entries:
             if entry.index <= state.applied_index:
                 self.apply(name, node.Apply(entry))
 
-    def step(self, name, entered):
+    def step(self, name, event):
         if name not in self.paused:
-            self.carry_out(name, raft.step(self.nodes[name], entered))
+            self.execute(name, raft.step(self.nodes[name], event))
 
-    def carry_out(self, name, effects):
-        takers = {
+    def execute(self, name, effects):
+        handlers = {
             node.Send: self.send,
             node.SaveVote: self.save,
             node.SaveEntries: self.save,
             node.Apply: self.apply,
             node.SendSnapshot: self.send_snapshot,
             node.InstallSnapshot: self.install,
-            node.RoleChanged: self.note_role,
+            node.RoleChanged: self.record_role,
         }
         for effect in effects:
-            takers[type(effect)](name, effect)
+            handlers[type(effect)](name, effect)
 
     def send(self, name, effect):
         packet = (name, effect.receiver, effect.body)
         if effect.is_after_sync:
-            self.disks[name].held.append(packet)
+            self.disks[name].outbox.append(packet)
         else:
             self.network.append(packet)
 
     def save(self, name, effect):
         self.disks[name].unsynced.append(effect)
 
-    def note_role(self, name, effect):
+    def record_role(self, name, effect):
         if effect.role is node.Role.LEADER:
             other = self.leaders.setdefault(effect.term, name)
             assert other == name, f'two leaders in term {effect.term}'
 
     def send_snapshot(self, name, effect):
-        held = self.disks[name].snapshot
-        if held is not None:
-            body = message.SnapshotRequest(effect.term, held, effect.sent_at)
+        snapshot = self.disks[name].snapshot
+        if snapshot is not None:
+            body = message.SnapshotRequest(
+                effect.term, snapshot, effect.sent_at
+            )
             self.network.append((name, effect.receiver, body))
 
     def apply(self, name, effect):
         entry = effect.entry
-        known = self.committed.setdefault(entry.index, entry)
-        assert known == entry, f'another entry committed at {entry.index}'
+        committed_entry = self.committed.setdefault(entry.index, entry)
+        assert committed_entry == entry, (
+            f'two entries committed at index {entry.index}'
+        )
         self.applied[name].append(entry.payload.decode('latin-1'))
 
     def install(self, name, effect):
-        taken = effect.snapshot
+        snapshot = effect.snapshot
         disk = self.disks[name]
         disk.sync()
-        disk.snapshot = taken
-        disk.entries = [one for one in disk.entries if one.index > taken.index]
-        self.applied[name] = msgspec.json.decode(taken.payload)
+        disk.snapshot = snapshot
+        disk.entries = [
+            entry for entry in disk.entries if entry.index > snapshot.index
+        ]
+        self.applied[name] = msgspec.json.decode(snapshot.payload)
 
     def sync(self, name):
         if name in self.paused:
@@ -162,17 +174,17 @@
         disk.saved_commit_index = max(
             disk.saved_commit_index, state.commit_index
         )
-        self.network.extend(disk.held)
-        disk.held.clear()
+        self.network.extend(disk.outbox)
+        disk.outbox.clear()
         self.step(
             name, node.Synced(state.log.last_index(), state.log.last_term())
         )
 
     def deliver(self, packet):
         sender, receiver, body = packet
-        is_cut = (sender, receiver) in self.cuts
+        is_blocked = (sender, receiver) in self.blocked_links
         is_up = receiver in self.nodes and receiver not in self.paused
-        if is_up and not is_cut:
+        if is_up and not is_blocked:
             self.step(receiver, node.Received(sender, body))
 
     def compact(self, name):
@@ -189,7 +201,7 @@
         self.step(name, node.Compacted(applied))
 
     def run(self, milliseconds):
-        """Let everything that is not cut work for a while."""
+        """Run all replicas that are not paused for a simulated time."""
         for _ in range(milliseconds // 10):
             self.now += 10
             for name in list(self.nodes):
@@ -209,22 +221,30 @@
 
     def check(self):
         states = self.nodes.values()
-        leased = [one for one in states if node.holds_lease(one, self.now)]
-        assert len(leased) <= 1, 'two leader leases at once'
+        leased = [
+            state for state in states if node.holds_lease(state, self.now)
+        ]
+        assert len(leased) <= 1, 'two replicas hold a leader lease'
         for state in self.nodes.values():
             for entry in state.log.entries:
                 if entry.index <= state.applied_index:
-                    known = self.committed.get(entry.index, entry)
-                    assert known == entry, 'a committed entry has changed'
+                    committed_entry = self.committed.get(entry.index, entry)
+                    assert committed_entry == entry, (
+                        'a committed entry has changed'
+                    )
         for left, right in itertools.combinations(states, 2):
             check_logs_match(left.log, right.log)
-        shortest = sorted(self.applied.values(), key=len)
-        for shorter, longer in itertools.pairwise(shortest):
+        by_length = sorted(self.applied.values(), key=len)
+        for shorter, longer in itertools.pairwise(by_length):
             assert longer[: len(shorter)] == shorter, 'applied states differ'
 
 
 def check_logs_match(left, right):
-    """Equal index and term mean equal entries up to there."""
+    """Check the log matching property.
+
+    If two logs have an entry of the same index and term, they are equal up to
+    that entry.
+    """
     first = max(left.snapshot_index, right.snapshot_index) + 1
     last = min(left.last_index(), right.last_index())
     matching = [
@@ -237,84 +257,84 @@
 
 
 class ReplicaMachine(RuleBasedStateMachine):
-    """Random steps over three to five replicas."""
+    """Applies random steps to a cluster of three to five replicas."""
 
     @initialize(count=st.integers(min_value=3, max_value=5))
     def create(self, count):
-        self.world = World(count)
-        self.world.run(600)
+        self.cluster = Cluster(count)
+        self.cluster.run(600)
 
-    def pick(self, choice):
-        names = sorted(self.world.nodes)
+    def pick_name(self, choice):
+        names = sorted(self.cluster.nodes)
         return names[choice % len(names)]
 
     @rule(milliseconds=st.sampled_from((10, 30, 100, 400)), choice=CHOICE)
     def tick(self, milliseconds, choice):
-        self.world.now += milliseconds
-        self.world.step(self.pick(choice), node.Tick(self.world.now))
+        self.cluster.now += milliseconds
+        self.cluster.step(self.pick_name(choice), node.Tick(self.cluster.now))
 
     @rule(milliseconds=st.sampled_from((50, 300, 1000)))
     def run_all(self, milliseconds):
-        self.world.run(milliseconds)
+        self.cluster.run(milliseconds)
 
     @rule(choice=CHOICE)
     def sync(self, choice):
-        self.world.sync(self.pick(choice))
-
-    @precondition(lambda machine: machine.world.network)
-    @rule(choice=CHOICE, is_kept=st.booleans())
-    def deliver(self, choice, is_kept):
-        place = choice % len(self.world.network)
-        packet = self.world.network[place]
-        if not is_kept:
-            self.world.network.pop(place)
-        self.world.deliver(packet)
-
-    @precondition(lambda machine: machine.world.network)
+        self.cluster.sync(self.pick_name(choice))
+
+    @precondition(lambda machine: machine.cluster.network)
+    @rule(choice=CHOICE, is_duplicated=st.booleans())
+    def deliver(self, choice, is_duplicated):
+        position = choice % len(self.cluster.network)
+        packet = self.cluster.network[position]
+        if not is_duplicated:
+            self.cluster.network.pop(position)
+        self.cluster.deliver(packet)
+
+    @precondition(lambda machine: machine.cluster.network)
     @rule(choice=CHOICE)
     def drop(self, choice):
-        self.world.network.pop(choice % len(self.world.network))
+        self.cluster.network.pop(choice % len(self.cluster.network))
 
     @rule(choice=CHOICE)
     def propose(self, choice):
-        payload = f'c{next(self.world.count)}'.encode()
-        self.world.step(self.pick(choice), node.Proposed((payload,)))
+        payload = f'c{next(self.cluster.payload_numbers)}'.encode()
+        self.cluster.step(self.pick_name(choice), node.Proposed((payload,)))
 
     @rule(choice=CHOICE)
     def crash(self, choice):
-        name = self.pick(choice)
-        self.world.paused.discard(name)
-        self.world.start(name)
+        name = self.pick_name(choice)
+        self.cluster.paused.discard(name)
+        self.cluster.start(name)
 
     @rule(choice=CHOICE)
     def pause_or_resume(self, choice):
-        self.world.paused ^= {self.pick(choice)}
+        self.cluster.paused ^= {self.pick_name(choice)}
 
-    @rule(left=CHOICE, right=CHOICE, is_both=st.booleans())
-    def cut(self, left, right, is_both):
-        pair = (self.pick(left), self.pick(right))
-        self.world.cuts.add(pair)
-        if is_both:
-            self.world.cuts.add((pair[1], pair[0]))
+    @rule(left=CHOICE, right=CHOICE, is_bidirectional=st.booleans())
+    def block(self, left, right, is_bidirectional):
+        pair = (self.pick_name(left), self.pick_name(right))
+        self.cluster.blocked_links.add(pair)
+        if is_bidirectional:
+            self.cluster.blocked_links.add((pair[1], pair[0]))
 
     @rule()
     def heal(self):
-        self.world.cuts.clear()
+        self.cluster.blocked_links.clear()
 
     @rule(choice=CHOICE)
     def compact(self, choice):
-        self.world.compact(self.pick(choice))
+        self.cluster.compact(self.pick_name(choice))
 
     @rule(choice=CHOICE)
     def hand_over(self, choice):
-        self.world.step(self.pick(choice), node.HandoverProposed())
+        self.cluster.step(self.pick_name(choice), node.HandoverProposed())
 
     @rule(choice=CHOICE, changed=CHOICE)
     def change_membership(self, choice, changed):
-        name = self.pick(choice)
-        state = self.world.nodes[name]
-        member = self.world.founders.members[
-            changed % len(self.world.founders.members)
+        name = self.pick_name(choice)
+        state = self.cluster.nodes[name]
+        member = self.cluster.founders.members[
+            changed % len(self.cluster.founders.members)
         ]
         if state.membership.find(member.identity) is None:
             planned = state.membership.replace(member)
@@ -322,11 +342,11 @@
             planned = state.membership.remove(member.identity)
         else:
             return
-        self.world.step(name, node.MembershipProposed(planned))
+        self.cluster.step(name, node.MembershipProposed(planned))
 
     @invariant()
     def check(self):
-        self.world.check()
+        self.cluster.check()
 
 
 def test_replicas_agree_under_faults():
@@ -344,103 +364,106 @@
 
 
 @pytest.fixture
-def world():
-    created = World(3)
+def cluster():
+    created = Cluster(3)
     created.run(1500)
     return created
 
 
-def test_create_elects_one_leader(world):
+def test_create_elects_one_leader(cluster):
     leaders = [
         state
-        for state in world.nodes.values()
+        for state in cluster.nodes.values()
         if state.role is node.Role.LEADER
     ]
     assert len(leaders) == 1
 
 
-def test_step_commits_on_all(world):
-    world.step(world.leader(), node.Proposed((b'a', b'b')))
-    world.run(300)
-    for applied in world.applied.values():
+def test_commands_are_applied_on_all_replicas(cluster):
+    cluster.step(cluster.leader(), node.Proposed((b'a', b'b')))
+    cluster.run(300)
+    for applied in cluster.applied.values():
         assert applied[-2:] == ['a', 'b']
 
 
-def test_deposed_leader_does_not_serve(world):
-    old = world.leader()
-    others = [name for name in world.nodes if name != old]
-    world.cuts = {(old, other) for other in others}
-    world.cuts |= {(other, old) for other in others}
-    world.run(2000)
-    assert world.leader() in others
-    assert not node.holds_lease(world.nodes[old], world.now)
-    world.step(world.leader(), node.Proposed((b'new',)))
-    world.step(old, node.Proposed((b'old',)))
-    world.cuts.clear()
-    world.run(1500)
-    assert all(applied[-1] == 'new' for applied in world.applied.values())
+def test_deposed_leader_holds_no_lease(cluster):
+    old = cluster.leader()
+    others = [name for name in cluster.nodes if name != old]
+    cluster.blocked_links = {(old, other) for other in others}
+    cluster.blocked_links |= {(other, old) for other in others}
+    cluster.run(2000)
+    assert cluster.leader() in others
+    assert not node.holds_lease(cluster.nodes[old], cluster.now)
+    cluster.step(cluster.leader(), node.Proposed((b'new',)))
+    cluster.step(old, node.Proposed((b'old',)))
+    cluster.blocked_links.clear()
+    cluster.run(1500)
+    assert all(applied[-1] == 'new' for applied in cluster.applied.values())
 
 
-def test_crash_loses_nothing_committed(world):
+def test_crash_loses_no_committed_entry(cluster):
     for number in range(20):
-        world.step(world.leader(), node.Proposed((str(number).encode(),)))
-        world.run(100)
-        world.start(world.leader())
-        world.run(1500)
-    expected = [str(place) for place in range(20)]
-    for applied in world.applied.values():
-        assert [one for one in applied if one] == expected
-
-
-def test_unsynced_entry_is_not_counted(world):
-    leader = world.leader()
-    others = [name for name in world.nodes if name != leader]
-    world.cuts = {(other, leader) for other in others}
-    world.step(leader, node.Proposed((b'lost',)))
-    world.sync(leader)
-    assert world.applied[leader][-1:] != ['lost']
-
-
-def test_replica_behind_catches_up_by_snapshot(world):
-    leader = world.leader()
-    behind = next(name for name in world.nodes if name != leader)
-    world.paused.add(behind)
+        cluster.step(cluster.leader(), node.Proposed((str(number).encode(),)))
+        cluster.run(100)
+        cluster.start(cluster.leader())
+        cluster.run(1500)
+    expected = [str(number) for number in range(20)]
+    for applied in cluster.applied.values():
+        assert [payload for payload in applied if payload] == expected
+
+
+def test_unsynced_entry_is_not_counted(cluster):
+    leader = cluster.leader()
+    others = [name for name in cluster.nodes if name != leader]
+    cluster.blocked_links = {(other, leader) for other in others}
+    cluster.step(leader, node.Proposed((b'lost',)))
+    cluster.sync(leader)
+    assert cluster.applied[leader][-1:] != ['lost']
+
+
+def test_lagging_replica_catches_up_by_snapshot(cluster):
+    leader = cluster.leader()
+    lagging = next(name for name in cluster.nodes if name != leader)
+    cluster.paused.add(lagging)
     for number in range(300):
-        world.step(leader, node.Proposed((str(number).encode(),)))
-        world.run(20)
-    world.compact(leader)
-    world.paused.discard(behind)
-    world.run(3000)
-    assert world.nodes[behind].log.snapshot_index > 0
-    assert world.applied[behind] == world.applied[leader]
-
-
-def test_handover_moves_the_leader(world):
-    old = world.leader()
-    world.step(old, node.HandoverProposed())
-    world.run(200)
-    assert world.leader() != old
-
-
-def test_candidate_behind_in_term_still_wins(world):
-    """Found by reasoning: the longest log with the lowest term."""
-    leader = world.leader()
-    others = [name for name in world.nodes if name != leader]
-    world.step(leader, node.Proposed((b'only here',)))
-    world.sync(leader)
+        cluster.step(leader, node.Proposed((str(number).encode(),)))
+        cluster.run(20)
+    cluster.compact(leader)
+    cluster.paused.discard(lagging)
+    cluster.run(3000)
+    assert cluster.nodes[lagging].log.snapshot_index > 0
+    assert cluster.applied[lagging] == cluster.applied[leader]
+
+
+def test_handover_moves_the_leader(cluster):
+    old = cluster.leader()
+    cluster.step(old, node.HandoverProposed())
+    cluster.run(200)
+    assert cluster.leader() != old
+
+
+def test_candidate_with_a_lower_term_can_win(cluster):
+    """The replica with the longest log has the lowest term.
+
+    It can win only after it learns the higher term from a refused pre-vote.
+    """
+    leader = cluster.leader()
+    others = [name for name in cluster.nodes if name != leader]
+    cluster.step(leader, node.Proposed((b'only here',)))
+    cluster.sync(leader)
     for name in others:
-        world.nodes[name].term += 2
-        world.disks[name].vote = node.SaveVote(world.nodes[name].term, None)
-    world.run(4000)
-    assert world.leader()
+        cluster.nodes[name].term += 2
+        cluster.disks[name].vote = node.SaveVote(cluster.nodes[name].term, None)
+    cluster.run(4000)
+    assert cluster.leader()
 
 
-def lonely(name, members, term=0):
-    """Return one replica of several, with no others running."""
+def create_replica(name, members, term=0):
+    """Return one replica of a cluster whose other replicas do not run."""
     founders = message.Membership(
         tuple(
-            message.Member(message.ReplicaId(one), one, 'dc', True)
-            for one in members
+            message.Member(message.ReplicaId(voter), voter, 'dc', True)
+            for voter in members
         )
     )
     return raft.create(
@@ -459,23 +482,23 @@
 
 
 def sends(effects):
-    return [one for one in effects if isinstance(one, node.Send)]
+    return [effect for effect in effects if isinstance(effect, node.Send)]
 
 
-def test_vote_is_saved_before_it_leaves():
-    state = lonely('a', 'abc')
+def test_vote_is_saved_before_it_is_sent():
+    state = create_replica('a', 'abc')
     raft.step(state, node.Tick(1000))
-    asked = message.VoteRequest(7, 0, 0, handover=False)
-    effects = raft.step(state, node.Received('b', asked))
+    request = message.VoteRequest(7, 0, 0, handover=False)
+    effects = raft.step(state, node.Received('b', request))
     assert node.SaveVote(7, 'b') in effects
-    assert [one.is_after_sync for one in sends(effects)] == [True]
-    again = message.VoteRequest(7, 0, 0, handover=False)
-    refused = raft.step(state, node.Received('c', again))
+    assert [sent.is_after_sync for sent in sends(effects)] == [True]
+    second_request = message.VoteRequest(7, 0, 0, handover=False)
+    refused = raft.step(state, node.Received('c', second_request))
     assert not sends(refused)[-1].body.granted
 
 
 def test_append_is_acknowledged_after_the_sync():
-    state = lonely('a', 'abc')
+    state = create_replica('a', 'abc')
     request = message.AppendRequest(1, 0, 0, (entry(1, 1),), 0, 5)
     effects = raft.step(state, node.Received('b', request))
     reply = sends(effects)[-1]
@@ -483,23 +506,23 @@
     assert reply.is_after_sync
 
 
-def test_restarted_voter_keeps_the_lease_that_it_granted(world):
-    leader = world.leader()
-    others = [name for name in world.nodes if name != leader]
-    world.cuts = {(leader, other) for other in others}
+def test_restarted_voter_respects_the_lease_that_it_granted(cluster):
+    leader = cluster.leader()
+    others = [name for name in cluster.nodes if name != leader]
+    cluster.blocked_links = {(leader, other) for other in others}
     for name in others:
-        world.start(name)
+        cluster.start(name)
     for _ in range(TIMING.election_timeout_ms // 10 - 2):
-        world.run(10)
-        world.check()
-    asked = message.VoteRequest(9, 99, 9, handover=False)
-    world.step(others[0], node.Received(others[1], asked))
-    assert world.nodes[others[0]].term < 9
+        cluster.run(10)
+        cluster.check()
+    request = message.VoteRequest(9, 99, 9, handover=False)
+    cluster.step(others[0], node.Received(others[1], request))
+    assert cluster.nodes[others[0]].term < 9
 
 
-def test_earlier_term_is_committed_only_with_the_own_term():
-    """The case of figure 8 of the Raft paper."""
-    state = lonely('a', 'abcde')
+def test_earlier_term_is_committed_only_with_the_current_term():
+    """The scenario of figure 8 in the Raft paper."""
+    state = create_replica('a', 'abcde')
     state.log.append(entry(1, 1))
     state.log.append(entry(2, 2))
     state.synced_index = 2
@@ -523,25 +546,25 @@
     assert state.commit_index == 3
 
 
-def test_candidate_that_is_behind_gets_no_vote():
-    state = lonely('a', 'abc')
+def test_candidate_with_a_shorter_log_gets_no_vote():
+    state = create_replica('a', 'abc')
     request = message.AppendRequest(1, 0, 0, (entry(1, 1),), 0, 5)
     raft.step(state, node.Received('b', request))
     raft.step(state, node.Tick(5000))
-    asked = message.VoteRequest(9, 0, 0, handover=False)
-    effects = raft.step(state, node.Received('c', asked))
+    request = message.VoteRequest(9, 0, 0, handover=False)
+    effects = raft.step(state, node.Received('c', request))
     assert not sends(effects)[-1].body.granted
 
 
-def test_leader_lease_ends_with_a_handover(world):
-    leader = world.leader()
-    assert node.holds_lease(world.nodes[leader], world.now)
-    world.step(leader, node.HandoverProposed())
-    assert not node.holds_lease(world.nodes[leader], world.now)
+def test_leader_lease_ends_with_a_handover(cluster):
+    leader = cluster.leader()
+    assert node.holds_lease(cluster.nodes[leader], cluster.now)
+    cluster.step(leader, node.HandoverProposed())
+    assert not node.holds_lease(cluster.nodes[leader], cluster.now)
 
 
 def test_own_entries_count_only_when_synced():
-    state = lonely('a', 'a')
+    state = create_replica('a', 'a')
     raft.step(state, node.Tick(5000))
     assert state.role is node.Role.LEADER
     raft.step(state, node.Proposed((b'x',)))
@@ -550,71 +573,73 @@
     assert state.commit_index == 2
 
 
-def test_membership_changes_one_at_a_time(world):
-    leader = world.leader()
-    state = world.nodes[leader]
-    others = [name for name in world.nodes if name != leader]
-    world.cuts = {(other, leader) for other in others}
+def test_membership_changes_one_at_a_time(cluster):
+    leader = cluster.leader()
+    state = cluster.nodes[leader]
+    others = [name for name in cluster.nodes if name != leader]
+    cluster.blocked_links = {(other, leader) for other in others}
     first = state.membership.remove(others[0])
-    world.step(leader, node.MembershipProposed(first))
+    cluster.step(leader, node.MembershipProposed(first))
     assert state.membership == first
     second = first.remove(others[1])
-    world.step(leader, node.MembershipProposed(second))
+    cluster.step(leader, node.MembershipProposed(second))
     assert state.membership == first
 
 
-def test_membership_changes_by_one_voter(world):
-    leader = world.leader()
-    state = world.nodes[leader]
+def test_membership_changes_by_one_voter(cluster):
+    leader = cluster.leader()
+    state = cluster.nodes[leader]
     before = state.membership
     smaller = before
-    for name in list(world.nodes):
+    for name in list(cluster.nodes):
         if name != leader:
             smaller = smaller.remove(name)
-    world.step(leader, node.MembershipProposed(smaller))
+    cluster.step(leader, node.MembershipProposed(smaller))
     assert state.membership == before
 
 
-def test_voters_that_all_start_anew_wait_for_no_lease(world):
-    before = world.leader()
-    for name in list(world.nodes):
-        world.start(name)
-    world.run(TIMING.election_timeout_ms - 20)
-    assert world.leader()
-    world.check()
-    assert before in world.nodes
+def test_voters_that_all_restart_do_not_wait_for_a_lease(cluster):
+    before = cluster.leader()
+    for name in list(cluster.nodes):
+        cluster.start(name)
+    cluster.run(TIMING.election_timeout_ms - 20)
+    assert cluster.leader()
+    cluster.check()
+    assert before in cluster.nodes
 
 
-def test_a_voter_that_has_heard_a_leader_proves_nothing(world):
-    leader = world.leader()
-    others = [name for name in world.nodes if name != leader]
-    world.start(others[0])
-    world.run(20)
-    asked = message.PreVoteRequest(99, 99, 99, world.now)
+def test_voter_that_has_seen_a_leader_sends_no_boot_id(cluster):
+    leader = cluster.leader()
+    others = [name for name in cluster.nodes if name != leader]
+    cluster.start(others[0])
+    cluster.run(20)
+    request = message.PreVoteRequest(99, 99, 99, cluster.now)
     for name in (leader, others[1]):
-        effects = raft.step(world.nodes[name], node.Received(others[0], asked))
+        effects = raft.step(
+            cluster.nodes[name], node.Received(others[0], request)
+        )
         assert sends(effects)[-1].body.boot == 0
 
 
-def test_a_proof_holds_only_for_the_process_that_gave_it():
-    state = lonely('a', 'abc')
+def test_restart_proof_is_valid_only_for_the_current_process():
+    state = create_replica('a', 'abc')
     state.boot_id = 7
     proof = (('a', 7), ('b', 8), ('c', 9))
     older = (('a', 6), ('b', 8), ('c', 9))
-    for restarted, is_taken in (
+    for restarted, is_accepted in (
         (older, False),
         (proof[:2], False),
         (proof, True),
     ):
-        asked = message.VoteRequest(
+        request = message.VoteRequest(
             5, 0, 0, handover=False, restarted=restarted
         )
-        raft.step(state, node.Received('b', asked))
-        assert (state.term == 5) == is_taken
+        raft.step(state, node.Received('b', request))
+        assert (state.term == 5) == is_accepted
 
 
-def test_an_answer_of_a_voter_that_was_not_up_when_asked_does_not_count():
-    state = lonely('a', 'abc')
+def test_reply_of_a_voter_started_after_the_request_is_ignored():
+    state = create_replica('a', 'abc')
     state.boot_id = 7
     raft.step(state, node.Tick(2 * TIMING.election_timeout_ms))
     raft.step(state, node.Tick(state.now + 100))
@@ -626,41 +651,41 @@
     assert set(state.restarted_voters) == {'a', 'b'}
 
 
-def test_voter_with_the_longer_log_stands_at_once():
-    state = lonely('a', 'abc')
+def test_voter_with_the_longer_log_starts_an_election_at_once():
+    state = create_replica('a', 'abc')
     state.log.append(entry(1, 1))
     before = raft.step(state, node.Tick(TIMING.election_timeout_ms + 1))
     state.election_due_at = 10 * TIMING.election_timeout_ms
     assert not sends(before)
-    asked = message.PreVoteRequest(5, 0, 0)
-    refused = raft.step(state, node.Received('b', asked))
+    request = message.PreVoteRequest(5, 0, 0)
+    refused = raft.step(state, node.Received('b', request))
     assert not sends(refused)[-1].body.granted
-    stood = raft.step(state, node.Tick(state.now + 1))
+    started = raft.step(state, node.Tick(state.now + 1))
     assert any(
-        isinstance(one.body, message.PreVoteRequest) for one in sends(stood)
+        isinstance(sent.body, message.PreVoteRequest) for sent in sends(started)
     )
 
 
-def test_refused_pre_vote_tells_the_term():
-    state = lonely('a', 'abc', term=5)
+def test_refused_pre_vote_carries_the_current_term():
+    state = create_replica('a', 'abc', term=5)
     raft.step(state, node.Tick(100))
-    asked = message.PreVoteRequest(2, 9, 1)
-    effects = raft.step(state, node.Received('b', asked))
+    request = message.PreVoteRequest(2, 9, 1)
+    effects = raft.step(state, node.Received('b', request))
     assert sends(effects)[-1].body == message.PreVoteReply(5, granted=False)
 
 
-def test_newcomer_gets_the_log_from_its_first_entry_on(world):
-    world.run(3000)
-    leader = world.leader()
-    state = world.nodes[leader]
-    newcomer = message.Member(message.ReplicaId('new'), 'new', 'dc', False)
-    larger = state.membership.replace(newcomer)
+def test_new_replica_gets_the_log_from_the_first_entry(cluster):
+    cluster.run(3000)
+    leader = cluster.leader()
+    state = cluster.nodes[leader]
+    new_member = message.Member(message.ReplicaId('new'), 'new', 'dc', False)
+    larger = state.membership.replace(new_member)
     effects = raft.step(state, node.MembershipProposed(larger))
     effects.extend(raft.step(state, node.Tick(state.now + 200)))
     appends = [
         effect.body
         for effect in sends(effects)
-        if effect.receiver == newcomer.identity
+        if effect.receiver == new_member.identity
     ]
     assert appends
     assert appends[0].previous_index == 0
--- a/mulberrywalk/consensus/repair.py
+++ b/mulberrywalk/consensus/repair.py
@@ -1,4 +1,4 @@
-"""Replacement of voters that have fallen silent, one change at a time."""
+"""Replacement of unresponsive voters, one membership change at a time."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 from . import leadership, message, node
 
-# A spare this many entries behind the commit counts as caught up.
-_CAUGHT_UP_ENTRIES = 200
-# A silent spare is forgotten after this many times the voters' patience.
-_SPARE_PATIENCE = 10
-# A spare that has not answered for this long is not promoted.
-_SPARE_SILENCE_MS = 2000
+# A learner counts as caught up if it lags behind the commit index by at most
+# this many entries.
+_MAX_LEARNER_LAG_ENTRIES = 200
+# A silent learner is removed after this many times the timeout for voters.
+_LEARNER_TIMEOUT_FACTOR = 10
+# A learner that has not answered for longer than this is not promoted.
+_MAX_LEARNER_SILENCE_MS = 2000
 
 
 def plan_membership_change(
@@ -19,8 +20,10 @@
 ) -> message.Membership | None:
     """Return the next membership to propose, or None.
 
-    A spare is promoted before the silent voter is removed, and only when the
-    voters that answer and the newcomer are a quorum of the new membership.
+    voter_count is the desired number of voters; a voter that has not answered
+    for more than timeout_ms is replaced. A learner is promoted before the
+    silent voter is removed, and only if the answering voters and the learner
+    form a quorum of the new membership.
     """
     if not leadership.can_change_membership(state):
         return None
@@ -29,26 +32,26 @@
         for voter in state.membership.voters()
         if is_superseded(state, voter) or is_silent(state, voter, timeout_ms)
     ]
-    count = len(state.membership.voters())
-    if silent and count > voter_count:
+    current_count = len(state.membership.voters())
+    if silent and current_count > voter_count:
         return _remove_voter(state, silent)
-    if silent or count < voter_count:
-        return _promote(state, silent, timeout_ms)
-    return _forget_spare(state, timeout_ms * _SPARE_PATIENCE)
+    if silent or current_count < voter_count:
+        return _promote_learner(state, silent, timeout_ms)
+    return _remove_silent_learner(state, timeout_ms * _LEARNER_TIMEOUT_FACTOR)
 
 
 def is_superseded(state: node.Node, replica: message.ReplicaId) -> bool:
-    """Return whether another replica answers at a replica's address.
+    """Return whether a new replica answers at the address of replica.
 
-    It has another identity because the disk of the earlier one is lost, so
-    that one need not be waited for.
+    The new one has another identity because the disk of the earlier one was
+    lost, so the earlier one will not come back.
     """
     member = state.membership.find(replica)
     if member is None or replica == state.identity:
         return False
-    heard_at = state.progress[replica].acknowledged_at
+    acknowledged_at = state.progress[replica].acknowledged_at
     return any(
-        state.progress[other.identity].acknowledged_at > heard_at
+        state.progress[other.identity].acknowledged_at > acknowledged_at
         for other in state.membership.members
         if other.address == member.address
         and other.identity not in {replica, state.identity}
@@ -58,7 +61,7 @@
 def is_silent(
     state: node.Node, replica: message.ReplicaId, timeout_ms: int
 ) -> bool:
-    """Return whether another replica has not answered for that long."""
+    """Return whether another replica has not answered for over timeout_ms."""
     if replica == state.identity:
         return False
     acknowledged_at = state.progress[replica].acknowledged_at
@@ -66,18 +69,18 @@
 
 
 def add_learner(
-    state: node.Node, newcomer: message.Member
+    state: node.Node, new_member: message.Member
 ) -> message.Membership | None:
-    """Return the membership with a newcomer as a spare, or None.
+    """Return the membership with a new replica added as a learner, or None.
 
-    None while another change is under way, or when it is a member already.
+    None if another change is in progress or the replica is already a member.
     """
     if not leadership.can_change_membership(state):
         return None
-    if state.membership.find(newcomer.identity) is not None:
+    if state.membership.find(new_member.identity) is not None:
         return None
     return state.membership.replace(
-        msgspec.structs.replace(newcomer, voter=False)
+        msgspec.structs.replace(new_member, voter=False)
     )
 
 
@@ -89,10 +92,10 @@
     return smaller if answering >= smaller.quorum() else None
 
 
-def _promote(
+def _promote_learner(
     state: node.Node, silent: list[message.ReplicaId], timeout_ms: int
 ) -> message.Membership | None:
-    spare = next(
+    learner = next(
         (
             member
             for member in state.membership.members
@@ -100,10 +103,10 @@
         ),
         None,
     )
-    if spare is None:
+    if learner is None:
         return None
     larger = state.membership.replace(
-        msgspec.structs.replace(spare, voter=True)
+        msgspec.structs.replace(learner, voter=True)
     )
     answering = len(larger.voters()) - len(silent)
     return larger if answering >= larger.quorum() else None
@@ -112,13 +115,15 @@
 def _is_caught_up(
     state: node.Node, member: message.Member, timeout_ms: int
 ) -> bool:
-    if is_silent(state, member.identity, min(timeout_ms, _SPARE_SILENCE_MS)):
+    if is_silent(
+        state, member.identity, min(timeout_ms, _MAX_LEARNER_SILENCE_MS)
+    ):
         return False
     match = state.progress[member.identity].match_index
-    return match >= state.commit_index - _CAUGHT_UP_ENTRIES
+    return match >= state.commit_index - _MAX_LEARNER_LAG_ENTRIES
 
 
-def _forget_spare(
+def _remove_silent_learner(
     state: node.Node, timeout_ms: int
 ) -> message.Membership | None:
     lost = next(
--- a/mulberrywalk/consensus/repair_test.py
+++ b/mulberrywalk/consensus/repair_test.py
@@ -1,12 +1,12 @@
-"""Replacement of silent voters."""
+"""Tests the replacement of unresponsive voters."""
 
 import msgspec
 import pytest
 
 from . import log, message, node, repair
 
-PATIENCE = 3000
-NOW = 100_000
+TIMEOUT_MS = 3000
+NOW_MS = 100_000
 
 
 def member(name, *, voter=True):
@@ -15,27 +15,27 @@
 
 @pytest.fixture
 def leader():
-    """Return a leader a with voters b and c and the spare d, all current."""
+    """Return leader a with voters b and c and learner d, all up to date."""
     members = message.Membership(
         (member('a'), member('b'), member('c'), member('d', voter=False))
     )
-    held = log.Log(10, 1, members)
-    state = node.Node(message.ReplicaId('a'), held, node.Timing())
+    leader_log = log.Log(10, 1, members)
+    state = node.Node(message.ReplicaId('a'), leader_log, node.Timing())
     state.role = node.Role.LEADER
     state.membership = members
-    state.now = NOW
+    state.now = NOW_MS
     state.commit_index = 10
     state.term_start_index = 5
     for name in 'bcd':
         state.progress[message.ReplicaId(name)] = node.Progress(
-            11, match_index=10, acknowledged_at=NOW
+            11, match_index=10, acknowledged_at=NOW_MS
         )
     return state
 
 
 def plan(state):
     return repair.plan_membership_change(
-        state, voter_count=3, timeout_ms=PATIENCE
+        state, voter_count=3, timeout_ms=TIMEOUT_MS
     )
 
 
@@ -44,61 +44,65 @@
     state.log = log.Log(10, 1, membership)
 
 
-def silence(state, *names):
+def mark_silent(state, *names):
     for name in names:
-        state.progress[name].acknowledged_at = NOW - PATIENCE - 1
+        state.progress[name].acknowledged_at = NOW_MS - TIMEOUT_MS - 1
 
 
-def test_plan_changes_nothing_while_all_answer(leader):
+def test_plan_returns_none_while_all_replicas_answer(leader):
     assert plan(leader) is None
 
 
-def test_plan_promotes_a_spare_before_it_removes(leader):
-    silence(leader, 'c')
-    larger = plan(leader)
-    assert set(larger.voters()) == {'a', 'b', 'c', 'd'}
-    leader.membership = larger
-    leader.log.snapshot_membership = larger
+def test_plan_promotes_a_learner_before_removing_a_silent_voter(leader):
+    mark_silent(leader, 'c')
+    enlarged = plan(leader)
+    assert set(enlarged.voters()) == {'a', 'b', 'c', 'd'}
+    leader.membership = enlarged
+    leader.log.snapshot_membership = enlarged
     assert set(plan(leader).voters()) == {'a', 'b', 'd'}
 
 
-def test_plan_waits_for_the_spare_to_catch_up(leader):
-    silence(leader, 'c')
+def test_plan_waits_for_the_learner_to_catch_up(leader):
+    mark_silent(leader, 'c')
     leader.commit_index = 1000
     leader.log.snapshot_index = 1000
     assert plan(leader) is None
 
 
-def test_plan_keeps_a_quorum_that_answers(leader):
-    silence(leader, 'b', 'c')
+def test_plan_returns_none_without_an_answering_quorum(leader):
+    mark_silent(leader, 'b', 'c')
     assert plan(leader) is None
 
 
-def test_plan_waits_for_the_change_under_way(leader):
-    silence(leader, 'c')
+def test_plan_waits_for_the_change_in_progress(leader):
+    mark_silent(leader, 'c')
     leader.membership = leader.membership.remove('d')
     assert plan(leader) is None
 
 
-def test_plan_forgets_a_spare_that_is_long_gone(leader):
-    leader.progress['d'].acknowledged_at = NOW - PATIENCE * 11
+def test_plan_removes_a_learner_after_a_long_silence(leader):
+    leader.progress['d'].acknowledged_at = NOW_MS - TIMEOUT_MS * 11
     assert plan(leader).find('d') is None
 
 
-def test_admit_takes_a_newcomer_once(leader):
-    admitted = repair.add_learner(leader, member('e'))
-    assert not admitted.find('e').voter
+def test_add_learner_ignores_an_existing_member(leader):
+    enlarged = repair.add_learner(leader, member('e'))
+    assert not enlarged.find('e').voter
     assert repair.add_learner(leader, member('b')) is None
 
 
-def test_plan_replaces_a_voter_whose_disk_is_lost_without_waiting(leader):
-    reborn = msgspec.structs.replace(member('b-2', voter=False), address='b')
-    commit_membership(leader, leader.membership.remove('d').replace(reborn))
-    leader.progress['b'].acknowledged_at = NOW - 1
+def test_plan_replaces_a_voter_with_a_lost_disk_without_waiting(leader):
+    replacement = msgspec.structs.replace(
+        member('b-2', voter=False), address='b'
+    )
+    commit_membership(
+        leader, leader.membership.remove('d').replace(replacement)
+    )
+    leader.progress['b'].acknowledged_at = NOW_MS - 1
     leader.progress['b-2'] = node.Progress(
-        11, match_index=10, acknowledged_at=NOW
+        11, match_index=10, acknowledged_at=NOW_MS
     )
-    larger = plan(leader)
-    assert set(larger.voters()) == {'a', 'b', 'c', 'b-2'}
-    commit_membership(leader, larger)
+    enlarged = plan(leader)
+    assert set(enlarged.voters()) == {'a', 'b', 'c', 'b-2'}
+    commit_membership(leader, enlarged)
     assert set(plan(leader).voters()) == {'a', 'c', 'b-2'}
--- a/mulberrywalk/consensus/replication.py
+++ b/mulberrywalk/consensus/replication.py
@@ -1,4 +1,4 @@
-"""What every replica does with the log: take entries, commit, compact."""
+"""Log replication on every replica: append, commit, compact, snapshots."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 
 def handle_synced(
-    state: node.Node, entered: node.Synced, effects: list[node.Effect]
+    state: node.Node, event: node.Synced, effects: list[node.Effect]
 ) -> None:
-    """Count the own disk; a stale report of replaced entries is ignored."""
-    if state.log.term_at(entered.index) == entered.term:
-        state.synced_index = max(state.synced_index, entered.index)
+    """Advance synced_index; ignore a report of entries replaced since."""
+    if state.log.term_at(event.index) == event.term:
+        state.synced_index = max(state.synced_index, event.index)
 
 
 def handle_compacted(
-    state: node.Node, entered: node.Compacted, effects: list[node.Effect]
+    state: node.Node, event: node.Compacted, effects: list[node.Effect]
 ) -> None:
-    """Drop the entries that a snapshot on the disk covers."""
-    if state.log.snapshot_index < entered.index <= state.applied_index:
-        state.log.compact(entered.index, state.log.membership_at(entered.index))
+    """Remove the entries that a snapshot on disk covers."""
+    if state.log.snapshot_index < event.index <= state.applied_index:
+        state.log.compact(event.index, state.log.membership_at(event.index))
 
 
 def handle_append_request(
@@ -28,19 +28,19 @@
     body: message.AppendRequest,
     effects: list[node.Effect],
 ) -> None:
-    """Take the leader's entries, or say where the logs may agree."""
+    """Append the leader's entries, or reply with the index to retry from."""
     if body.term < state.term:
-        _refuse(state, sender, body, effects, state.log.last_index() + 1)
+        _reject_append(state, sender, body, effects, state.log.last_index() + 1)
         return
-    _hear(state, sender, effects)
-    known = state.log.term_at(body.previous_index)
+    _record_leader_contact(state, sender, effects)
+    local_term = state.log.term_at(body.previous_index)
     if body.previous_index < state.log.snapshot_index:
-        known = body.previous_term
-    if known != body.previous_term:
+        local_term = body.previous_term
+    if local_term != body.previous_term:
         retry_at = min(body.previous_index, state.log.last_index() + 1)
-        _refuse(state, sender, body, effects, retry_at)
+        _reject_append(state, sender, body, effects, retry_at)
         return
-    _take_entries(state, body.entries, effects)
+    _store_entries(state, body.entries, effects)
     match = body.previous_index + len(body.entries)
     state.commit_index = max(state.commit_index, min(body.commit, match))
     reply = message.AppendReply(
@@ -55,44 +55,44 @@
     body: message.SnapshotRequest,
     effects: list[node.Effect],
 ) -> None:
-    """Replace state and log by the leader's snapshot when it is newer."""
+    """Replace state and log with the leader's snapshot if it is newer."""
     if body.term < state.term:
         return
-    _hear(state, sender, effects)
-    received = body.snapshot
-    if received.index > state.commit_index:
-        _install(state, received, effects)
+    _record_leader_contact(state, sender, effects)
+    snapshot = body.snapshot
+    if snapshot.index > state.commit_index:
+        _install_snapshot(state, snapshot, effects)
     reply = message.AppendReply(
         state.term,
         succeeded=True,
-        match=received.index,
+        match=snapshot.index,
         sent_at=body.sent_at,
     )
     effects.append(node.Send(sender, reply, is_after_sync=True))
 
 
 def commit_and_apply(state: node.Node, effects: list[node.Effect]) -> None:
-    """Advance the commit index and hand out what became committed.
+    """Advance the commit index and emit Apply for newly committed entries.
 
-    Only an entry of the leader's own term is counted by replicas; earlier
-    ones follow with it.
+    A leader counts replicas only for entries of its own term; earlier entries
+    are committed along with them.
     """
     if state.role is node.Role.LEADER:
-        agreed = _agreed_index(state)
-        is_own_term = state.log.term_at(agreed) == state.term
-        if agreed > state.commit_index and is_own_term:
-            state.commit_index = agreed
-    # A follower applies only what its own disk holds.
-    ready = min(state.commit_index, state.synced_index)
-    if ready > state.applied_index:
+        quorum_index = _quorum_match_index(state)
+        is_own_term = state.log.term_at(quorum_index) == state.term
+        if quorum_index > state.commit_index and is_own_term:
+            state.commit_index = quorum_index
+    # A replica applies only entries that are synced to its own disk.
+    applicable = min(state.commit_index, state.synced_index)
+    if applicable > state.applied_index:
         first = state.applied_index + 1
-        entries = state.log.slice(first, ready - state.applied_index)
+        entries = state.log.slice(first, applicable - state.applied_index)
         effects.extend(map(node.Apply, entries))
-        state.applied_index = ready
-        _leave_if_removed(state, effects)
+        state.applied_index = applicable
+        _step_down_if_removed(state, effects)
 
 
-def _leave_if_removed(state: node.Node, effects: list[node.Effect]) -> None:
+def _step_down_if_removed(state: node.Node, effects: list[node.Effect]) -> None:
     if state.role is node.Role.LEADER and not state.is_voter():
         committed = state.log.membership_at(state.commit_index)
         if committed == state.membership:
@@ -100,7 +100,7 @@
             state.leader = None
 
 
-def _agreed_index(state: node.Node) -> int:
+def _quorum_match_index(state: node.Node) -> int:
     matches = sorted(
         (
             state.synced_index
@@ -114,14 +114,17 @@
 
 
 def refresh_membership(state: node.Node) -> None:
-    """Take the latest membership of the log; a leader follows all of it."""
+    """Set the membership to the latest one in the log, committed or not.
+
+    A leader starts tracking the progress of added replicas.
+    """
     state.membership = state.log.membership_at(state.log.last_index())
     if state.role is node.Role.LEADER:
         for peer in state.peers():
             election.track_progress(state, peer, is_new=True)
 
 
-def _hear(
+def _record_leader_contact(
     state: node.Node,
     sender: message.ReplicaId,
     effects: list[node.Effect],
@@ -134,7 +137,7 @@
     election.reset_election_timer(state)
 
 
-def _refuse(
+def _reject_append(
     state: node.Node,
     sender: message.ReplicaId,
     body: message.AppendRequest,
@@ -147,41 +150,41 @@
     effects.append(node.Send(sender, reply, is_after_sync=True))
 
 
-def _take_entries(
+def _store_entries(
     state: node.Node,
     entries: tuple[message.LogEntry, ...],
     effects: list[node.Effect],
 ) -> None:
-    fresh = tuple(
+    new_entries = tuple(
         entry
         for entry in entries
         if entry.index > state.log.snapshot_index
         and state.log.term_at(entry.index) != entry.term
     )
-    if not fresh:
+    if not new_entries:
         return
-    first = fresh[0].index
+    first = new_entries[0].index
     if first <= state.commit_index:
         raise AssertionError(f'committed entry {first} would be replaced')
-    fresh = tuple(entry for entry in entries if entry.index >= first)
+    new_entries = tuple(entry for entry in entries if entry.index >= first)
     state.log.truncate(first)
     state.synced_index = min(state.synced_index, first - 1)
-    for entry in fresh:
+    for entry in new_entries:
         state.log.append(entry)
     refresh_membership(state)
-    effects.append(node.SaveEntries(fresh))
+    effects.append(node.SaveEntries(new_entries))
 
 
-def _install(
+def _install_snapshot(
     state: node.Node,
-    received: message.Snapshot,
+    snapshot: message.Snapshot,
     effects: list[node.Effect],
 ) -> None:
     state.log = replica_log.Log(
-        received.index, received.term, received.membership
+        snapshot.index, snapshot.term, snapshot.membership
     )
-    state.membership = received.membership
-    state.commit_index = received.index
-    state.applied_index = received.index
-    state.synced_index = received.index
-    effects.append(node.InstallSnapshot(received))
+    state.membership = snapshot.membership
+    state.commit_index = snapshot.index
+    state.applied_index = snapshot.index
+    state.synced_index = snapshot.index
+    effects.append(node.InstallSnapshot(snapshot))
--- a/mulberrywalk/storage/__init__.py
+++ b/mulberrywalk/storage/__init__.py
@@ -1,1 +1,1 @@
-"""Durable files: write-ahead log, snapshots and identity."""
+"""Durable storage: write-ahead log, snapshots and replica identity."""
--- a/mulberrywalk/storage/disk.py
+++ b/mulberrywalk/storage/disk.py
@@ -1,9 +1,10 @@
-"""The data folder of one replica: identity, write-ahead log, snapshot.
+"""The data folder of one replica: identity, write-ahead log and snapshot.
 
-All functions block on the disk and run in a worker thread of the program.
-Files: identity.json, log-<sequence>-<first index>.wal,
-snapshot.bin. One frame of a log segment is one synced batch, so that a batch
-whose blocks reached the disk in another order is torn as a whole.
+All functions block on disk access and are meant to run in a worker thread.
+The files are identity.json, log-<sequence>-<first index>.wal and
+snapshot.bin. Each frame of a log segment holds one synced batch: if a crash
+leaves only some blocks of a batch on disk, in any order, the whole batch is
+discarded as a torn write.
 """
 
 from __future__ import annotations
@@ -26,39 +27,43 @@
 
 SEGMENT_BYTES = 8_388_608
 _FILE_MODE = 0o644
-_IDENTITY = 'identity.json'
-_SNAPSHOT = 'snapshot.bin'
+_IDENTITY_FILE = 'identity.json'
+_SNAPSHOT_FILE = 'snapshot.bin'
 _SEQUENCE_DIGITS = 10
 _INDEX_DIGITS = 16
-_SEGMENT = re.compile(r'log-(\d{10})-(\d{16})\.wal')
+_SEGMENT_PATTERN = re.compile(r'log-(\d{10})-(\d{16})\.wal')
 
 
 class StorageError(Exception):
-    """The data folder cannot be used; the message says which file and why."""
+    """The data folder cannot be used; the message names the file and reason."""
 
 
 class Identity(msgspec.Struct, frozen=True):
-    """The identity of a replica, kept for as long as its disk."""
+    """The identity of a replica, which lasts as long as its disk.
+
+    founders is the initial membership of the cluster, empty for a replica that
+    joins later.
+    """
 
     identity: message.ReplicaId
     founders: message.Membership
 
 
 class VoteRecord(msgspec.Struct, frozen=True, tag=True):
-    """Term and vote, written before they are acted upon."""
+    """Term and vote, saved before any message that depends on them is sent."""
 
     term: int
     vote: message.ReplicaId | None
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag=True):
-    """Entries that replace all from the index of the first."""
+    """Entries that replace all earlier ones from the index of the first on."""
 
     entries: tuple[message.LogEntry, ...]
 
 
 class CommitRecord(msgspec.Struct, frozen=True, tag=True):
-    """An index up to which entries were known to be committed."""
+    """The index up to which entries were known to be committed."""
 
     index: int
 
@@ -70,7 +75,7 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadedState:
-    """What a data folder held at the start."""
+    """The contents of a data folder when the replica starts."""
 
     identity: Identity
     vote: node.SaveVote
@@ -82,11 +87,11 @@
 def create_identity(
     folder: pathlib.Path, founders: message.Membership, name: str
 ) -> Identity:
-    """Write the identity of a founding voter into an empty folder.
+    """Write the identity of a founding voter to an empty folder.
 
-    Raises StorageError when the folder has an identity already.
+    Raises StorageError if the folder already has an identity.
     """
-    if (folder / _IDENTITY).exists():
+    if (folder / _IDENTITY_FILE).exists():
         raise StorageError(f'{folder} already holds a replica')
     identity = Identity(message.ReplicaId(name), founders)
     _save_identity(folder, identity)
@@ -94,12 +99,12 @@
 
 
 def load_identity(folder: pathlib.Path, name: str) -> Identity:
-    """Return the folder's identity; an empty folder gets a new one.
+    """Return the folder's identity, creating one in an empty folder.
 
-    The new identity has a random suffix: a replica whose disk was lost never
-    votes again under the identity that it had before.
+    A new identity has a random suffix, so that a replica whose disk was lost
+    never votes again under its previous identity.
     """
-    path = folder / _IDENTITY
+    path = folder / _IDENTITY_FILE
     if path.exists():
         return msgspec.json.decode(path.read_bytes(), type=Identity)
     suffix = secrets.token_hex(4)
@@ -111,10 +116,10 @@
 
 
 def load(folder: pathlib.Path, name: str) -> LoadedState:
-    """Read identity, snapshot and log; cut a torn end of the log.
+    """Read identity, snapshot and log, and truncate a torn write at the end.
 
-    Raises StorageError on damage in the middle of a file: the replica must
-    then come back with an empty folder and a new identity.
+    Raises StorageError if a file is damaged in the middle: the replica must
+    then restart with an empty folder and a new identity.
     """
     identity = load_identity(folder, name)
     snapshot = _load_snapshot(folder)
@@ -125,7 +130,7 @@
         )
     vote = node.SaveVote(0, None)
     commit_index = 0
-    segments = _segments(folder)
+    segments = _list_segments(folder)
     for position, path in enumerate(segments):
         is_last = position == len(segments) - 1
         for record in _load_segment(path, is_last=is_last):
@@ -142,13 +147,15 @@
     """The open write-ahead log of a data folder."""
 
     def __init__(self, folder: pathlib.Path, loaded: LoadedState) -> None:
-        """Open a new segment; loaded is what the folder held."""
+        """Open a new segment; loaded holds the contents of the folder."""
         self._folder = folder
         self._vote = loaded.vote
         self._snapshot = loaded.snapshot
         self._descriptor = -1
-        self._sequence = max(map(_sequence, _segments(folder)), default=0)
-        self._written = 0
+        self._sequence = max(
+            map(_sequence_number, _list_segments(folder)), default=0
+        )
+        self._segment_size = 0
         self._open_segment(loaded.log.last_index() + 1)
 
     def write(
@@ -156,17 +163,19 @@
         effects: list[node.SaveVote | node.SaveEntries],
         commit_index: int = 0,
     ) -> None:
-        """Append the records of one batch and sync once.
+        """Append the records of one batch and sync them to disk once.
 
-        commit_index is the index that is known to be committed; a replica that
-        starts again applies up to it before it has heard of a leader. Raises
-        StorageError when the disk refuses: nothing of the batch may then be
+        commit_index is the index known to be committed; a restarted replica
+        applies entries up to it before it has contact with a leader. Raises
+        StorageError if the write fails: no part of the batch may then be
         acknowledged.
         """
-        votes = [one for one in effects if isinstance(one, node.SaveVote)]
+        votes = [
+            effect for effect in effects if isinstance(effect, node.SaveVote)
+        ]
         if votes:
             self._vote = votes[-1]
-        records = [_record(effect) for effect in effects]
+        records = [_to_record(effect) for effect in effects]
         if commit_index:
             records.append(CommitRecord(commit_index))
         blob = frame.pack(msgspec.msgpack.encode(records))
@@ -174,42 +183,43 @@
             _write_all(self._descriptor, blob)
         except OSError as error:
             raise StorageError(f'write-ahead log: {error}') from error
-        self._written += len(blob)
+        self._segment_size += len(blob)
 
     def rotate(self, next_index: int) -> None:
-        """Start a new segment once the present one has grown large."""
-        if self._written >= SEGMENT_BYTES:
+        """Start a new segment if the current one has reached SEGMENT_BYTES."""
+        if self._segment_size >= SEGMENT_BYTES:
             self._open_segment(next_index)
 
     def save_snapshot(self, snapshot: message.Snapshot) -> None:
-        """Replace the snapshot and delete the segments that it covers."""
+        """Replace the snapshot and delete the segments that it fully covers."""
         payload = frame.pack(msgspec.msgpack.encode(snapshot))
-        _replace(self._folder / _SNAPSHOT, payload)
+        _replace_file(self._folder / _SNAPSHOT_FILE, payload)
         self._snapshot = snapshot
-        segments = _segments(self._folder)
+        segments = _list_segments(self._folder)
         for path, following in itertools.pairwise(segments):
             if _first_index(following) <= snapshot.index + 1:
                 path.unlink()
         _sync_folder(self._folder)
 
     def install_snapshot(self, snapshot: message.Snapshot) -> None:
-        """Replace state and log by a snapshot received from the leader."""
-        old = _segments(self._folder)
+        """Replace state and log with a snapshot received from the leader."""
+        old_segments = _list_segments(self._folder)
         payload = frame.pack(msgspec.msgpack.encode(snapshot))
-        _replace(self._folder / _SNAPSHOT, payload)
+        _replace_file(self._folder / _SNAPSHOT_FILE, payload)
         self._snapshot = snapshot
-        # The vote is written to the new segment before the old ones go.
+        # The vote is written to the new segment before the old segments, which
+        # also hold it, are deleted.
         self._open_segment(snapshot.index + 1)
-        for path in old:
+        for path in old_segments:
             path.unlink()
         _sync_folder(self._folder)
 
     def snapshot(self) -> message.Snapshot | None:
-        """Return the latest snapshot on the disk."""
+        """Return the latest snapshot on disk, or None."""
         return self._snapshot
 
     def close(self) -> None:
-        """Close the present segment."""
+        """Close the current segment."""
         os.close(self._descriptor)
 
     def _open_segment(self, next_index: int) -> None:
@@ -221,25 +231,28 @@
         path = self._folder / f'log-{number}-{first}.wal'
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
         self._descriptor = os.open(path, flags, _FILE_MODE)
-        self._written = os.fstat(self._descriptor).st_size
+        self._segment_size = os.fstat(self._descriptor).st_size
         _sync_folder(self._folder)
-        # Each segment repeats the vote, so that older ones may be deleted.
+        # Each segment starts with the vote, so that older segments can be
+        # deleted.
         self.write([self._vote])
 
 
-def _record(effect: node.SaveVote | node.SaveEntries) -> Record:
+def _to_record(effect: node.SaveVote | node.SaveEntries) -> Record:
     if isinstance(effect, node.SaveVote):
         return VoteRecord(effect.term, effect.vote)
     return EntriesRecord(effect.entries)
 
 
-def _segments(folder: pathlib.Path) -> list[pathlib.Path]:
+def _list_segments(folder: pathlib.Path) -> list[pathlib.Path]:
     return sorted(
-        path for path in folder.iterdir() if _SEGMENT.fullmatch(path.name)
+        path
+        for path in folder.iterdir()
+        if _SEGMENT_PATTERN.fullmatch(path.name)
     )
 
 
-def _sequence(path: pathlib.Path) -> int:
+def _sequence_number(path: pathlib.Path) -> int:
     return int(path.name.split('-')[1])
 
 
@@ -250,30 +263,31 @@
 def _load_segment(path: pathlib.Path, *, is_last: bool) -> list[Record]:
     blob = path.read_bytes()
     frames = frame.unpack(blob)
-    is_short = frames.intact_length < len(blob)
-    if is_short and (frames.is_damaged or not is_last):
+    has_bad_frame = frames.intact_length < len(blob)
+    if has_bad_frame and (frames.is_damaged or not is_last):
         raise StorageError(
             f'{path} is damaged at byte {frames.intact_length}: move the data '
             'folder away and start with an empty one'
         )
-    if is_short:
-        _cut(path, frames.intact_length)
+    if has_bad_frame:
+        _truncate_file(path, frames.intact_length)
     if is_last:
-        # A process that was killed while it wrote has left what reads well
-        # and is not on the disk yet; from here on it counts as written.
+        # A process killed between write and sync leaves data that can be read
+        # but may not be on disk yet. It is treated as durable from here on, so
+        # it is synced first.
         _sync_file(path)
     batches = [_decoder.decode(payload) for payload in frames.payloads]
     return list(itertools.chain.from_iterable(batches))
 
 
-def _cut(path: pathlib.Path, length: int) -> None:
-    with _opened(path, os.O_WRONLY) as descriptor:
+def _truncate_file(path: pathlib.Path, length: int) -> None:
+    with _open_file(path, os.O_WRONLY) as descriptor:
         os.ftruncate(descriptor, length)
         os.fsync(descriptor)
 
 
 def _sync_file(path: pathlib.Path) -> None:
-    with _opened(path, os.O_WRONLY) as descriptor:
+    with _open_file(path, os.O_WRONLY) as descriptor:
         os.fsync(descriptor)
 
 
@@ -282,19 +296,21 @@
     entries: tuple[message.LogEntry, ...],
     path: pathlib.Path,
 ) -> None:
-    fresh = [one for one in entries if one.index > log.snapshot_index]
-    if not fresh:
+    new_entries = [
+        entry for entry in entries if entry.index > log.snapshot_index
+    ]
+    if not new_entries:
         return
-    if fresh[0].index > log.last_index() + 1:
+    if new_entries[0].index > log.last_index() + 1:
         missing = log.last_index() + 1
-        raise StorageError(f'{path} lacks entry {missing}')
-    log.truncate(fresh[0].index)
-    for entry in fresh:
+        raise StorageError(f'{path}: entry {missing} is missing from the log')
+    log.truncate(new_entries[0].index)
+    for entry in new_entries:
         log.append(entry)
 
 
 def _load_snapshot(folder: pathlib.Path) -> message.Snapshot | None:
-    path = folder / _SNAPSHOT
+    path = folder / _SNAPSHOT_FILE
     if not path.exists():
         return None
     payloads = frame.unpack(path.read_bytes()).payloads
@@ -308,15 +324,16 @@
 
 def _save_identity(folder: pathlib.Path, identity: Identity) -> None:
     folder.mkdir(parents=True, exist_ok=True)
-    _replace(folder / _IDENTITY, msgspec.json.encode(identity))
+    _replace_file(folder / _IDENTITY_FILE, msgspec.json.encode(identity))
 
 
-def _replace(path: pathlib.Path, payload: bytes) -> None:
-    # Written beside and renamed, so that a crash leaves the old or the new.
+def _replace_file(path: pathlib.Path, payload: bytes) -> None:
+    # Written to a temporary file and renamed, so that a crash leaves either
+    # the old or the new file.
     temporary = path.with_suffix('.new')
     flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
     try:
-        with _opened(temporary, flags) as descriptor:
+        with _open_file(temporary, flags) as descriptor:
             _write_all(descriptor, payload)
     except OSError as error:
         raise StorageError(f'{path}: {error}') from error
@@ -325,19 +342,19 @@
 
 
 def _write_all(descriptor: int, blob: bytes) -> None:
-    rest = memoryview(blob)
-    while rest:
-        rest = rest[os.write(descriptor, rest) :]
+    remaining = memoryview(blob)
+    while remaining:
+        remaining = remaining[os.write(descriptor, remaining) :]
     os.fdatasync(descriptor)
 
 
 def _sync_folder(folder: pathlib.Path) -> None:
-    with _opened(folder, os.O_RDONLY) as descriptor:
+    with _open_file(folder, os.O_RDONLY) as descriptor:
         os.fsync(descriptor)
 
 
 @contextlib.contextmanager
-def _opened(path: pathlib.Path, flags: int) -> Iterator[int]:
+def _open_file(path: pathlib.Path, flags: int) -> Iterator[int]:
     descriptor = os.open(path, flags, _FILE_MODE)
     with contextlib.ExitStack() as stack:
         stack.callback(os.close, descriptor)
--- a/mulberrywalk/storage/disk_test.py
+++ b/mulberrywalk/storage/disk_test.py
@@ -1,4 +1,4 @@
-"""The data folder under torn writes, damage and lost files."""
+"""Tests the data folder with torn writes, damage and lost files."""
 
 import pytest
 
@@ -28,9 +28,9 @@
     return tmp_path
 
 
-def only(found):
-    assert len(found) == 1, found
-    return found[0]
+def only(paths):
+    assert len(paths) == 1, paths
+    return paths[0]
 
 
 def open_disk(folder):
@@ -49,14 +49,14 @@
     assert loaded.log.last_index() == 5
 
 
-def test_load_knows_what_was_committed(folder):
+def test_load_restores_the_commit_index(folder):
     opened = open_disk(folder)
     opened.write([entries(1, 5)], commit_index=2)
     opened.write([entries(6, 9)], commit_index=7)
     assert disk.load(folder, 'a').commit_index == 7
 
 
-def test_a_torn_end_takes_its_commit_index_with_it(folder):
+def test_load_discards_the_commit_index_of_a_torn_write(folder):
     opened = open_disk(folder)
     opened.write([entries(1, 5)], commit_index=2)
     opened.write([entries(6, 9)], commit_index=7)
@@ -67,7 +67,7 @@
     assert loaded.log.last_index() == 5
 
 
-def test_load_replaces_overwritten_entries(folder):
+def test_load_applies_overwritten_entries(folder):
     opened = open_disk(folder)
     opened.write([entries(1, 5)])
     opened.write([entries(3, 4, term=2)])
@@ -76,7 +76,9 @@
     assert loaded.term_at(3) == 2
 
 
-def test_rotation_after_a_truncation_keeps_the_order(folder, monkeypatch):
+def test_load_reads_segments_in_order_after_a_log_truncation(
+    folder, monkeypatch
+):
     monkeypatch.setattr(disk, 'SEGMENT_BYTES', 1)
     opened = open_disk(folder)
     opened.write([entries(1, 50)])
@@ -89,20 +91,20 @@
     assert loaded.term_at(10) == 2
 
 
-@pytest.mark.parametrize('lost_bytes', [1, 7, 20])
-def test_load_cuts_a_torn_end(folder, lost_bytes):
+@pytest.mark.parametrize('lost_byte_count', [1, 7, 20])
+def test_load_truncates_a_torn_write(folder, lost_byte_count):
     opened = open_disk(folder)
     opened.write([entries(1, 5)])
     opened.write([entries(6, 9)])
     path = segments(folder)[-1]
-    path.write_bytes(path.read_bytes()[:-lost_bytes])
+    path.write_bytes(path.read_bytes()[:-lost_byte_count])
     assert disk.load(folder, 'a').log.last_index() == 5
-    again = open_disk(folder)
-    again.write([entries(6, 7)])
+    reopened = open_disk(folder)
+    reopened.write([entries(6, 7)])
     assert disk.load(folder, 'a').log.last_index() == 7
 
 
-def test_load_refuses_damage_in_the_middle(folder):
+def test_load_rejects_damage_in_the_middle(folder):
     opened = open_disk(folder)
     opened.write([entries(1, 5)])
     opened.write([entries(6, 9)])
@@ -114,7 +116,7 @@
         disk.load(folder, 'a')
 
 
-def test_snapshot_replaces_old_segments(folder, monkeypatch):
+def test_save_snapshot_deletes_covered_segments(folder, monkeypatch):
     monkeypatch.setattr(disk, 'SEGMENT_BYTES', 1)
     opened = open_disk(folder)
     opened.write([node.SaveVote(4, None), entries(1, 5)])
@@ -130,7 +132,7 @@
     assert len(segments(folder)) == 1
 
 
-def test_installed_snapshot_survives_a_restart(folder):
+def test_installed_snapshot_is_loaded_after_a_restart(folder):
     opened = open_disk(folder)
     opened.write([node.SaveVote(4, None), entries(1, 5)])
     founders = disk.load(folder, 'a').identity.founders
@@ -141,21 +143,21 @@
     assert loaded.vote.term == 4
 
 
-def test_empty_folder_gets_a_new_identity(tmp_path):
+def test_load_identity_creates_one_in_an_empty_folder(tmp_path):
     first = disk.load_identity(tmp_path / 'x', 'a')
     second = disk.load_identity(tmp_path / 'y', 'a')
     assert first.identity not in {'a', second.identity}
     assert disk.load_identity(tmp_path / 'x', 'a') == first
 
 
-def test_found_refuses_a_used_folder(folder):
+def test_create_identity_rejects_a_used_folder(folder):
     with pytest.raises(disk.StorageError, match='already'):
         disk.create_identity(folder, message.EMPTY_MEMBERSHIP, 'a')
 
 
-def test_load_syncs_what_a_killed_process_had_written(folder, monkeypatch):
+def test_load_syncs_data_written_before_a_kill(folder, monkeypatch):
     opened = open_disk(folder)
-    # The process is killed between the write and its sync.
+    # Simulates a process killed between a write and its sync.
     with monkeypatch.context() as patched:
         patched.setattr(disk.os, 'fdatasync', lambda descriptor: None)
         opened.write([entries(1, 2)])
@@ -163,10 +165,10 @@
     synced = []
     fsync = disk.os.fsync
 
-    def note(descriptor):
+    def record_fsync(descriptor):
         synced.append(disk.os.readlink(f'/proc/self/fd/{descriptor}'))
         fsync(descriptor)
 
-    monkeypatch.setattr(disk.os, 'fsync', note)
+    monkeypatch.setattr(disk.os, 'fsync', record_fsync)
     assert disk.load(folder, 'a').log.last_index() == 2
     assert str(segment) in synced
--- a/mulberrywalk/storage/frame.py
+++ b/mulberrywalk/storage/frame.py
@@ -1,4 +1,4 @@
-"""Framing of records in a file: length, CRC-32C, payload."""
+"""Framing of records in a file: length, CRC-32C checksum, payload."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Frames:
-    """Payloads read from a file and where the intact part ends, in bytes.
+    """Payloads of a file and the length of its intact part in bytes.
 
-    is_damaged tells that intact frames follow the first bad one, so that the
-    file was damaged in the middle and not merely cut while being written.
+    is_damaged is set if intact frames follow the first bad one: the file was
+    then damaged in the middle, not just truncated by an interrupted write.
     """
 
     payloads: list[bytes]
@@ -24,17 +24,17 @@
 
 
 def pack(payload: bytes) -> bytes:
-    """Return the frame of one payload."""
+    """Return a payload with its frame header."""
     header = _HEADER.pack(len(payload), google_crc32c.value(payload))
     return b''.join((header, payload))
 
 
 def unpack(blob: bytes) -> Frames:
-    """Return the payloads of the intact frames at the start of a file."""
+    """Return the intact frames at the start of a file's contents."""
     payloads: list[bytes] = []
     offset = 0
     while True:
-        payload = _read(blob, offset)
+        payload = _read_frame(blob, offset)
         if payload is None:
             break
         payloads.append(payload)
@@ -42,13 +42,13 @@
     return Frames(payloads, offset, _has_frame_after(blob, offset))
 
 
-def _read(blob: bytes, offset: int) -> bytes | None:
+def _read_frame(blob: bytes, offset: int) -> bytes | None:
     if offset + _HEADER.size > len(blob):
         return None
     length, checksum = _HEADER.unpack_from(blob, offset)
     start = offset + _HEADER.size
-    # Told before anything is copied: in search of an intact frame, most
-    # lengths are arbitrary bytes.
+    # Checked before the payload is copied: in a search for an intact frame,
+    # most length fields are arbitrary bytes.
     if not length or start + length > len(blob):
         return None
     payload = blob[start : start + length]
@@ -58,15 +58,16 @@
 
 
 def _has_frame_after(blob: bytes, offset: int) -> bool:
-    # The header of the bad frame may be intact: then its end is known, and
-    # the file was cut there unless another intact frame follows.
+    # If the header of the bad frame is intact, its length field gives the
+    # position of the next frame: check that position first, then all others.
+    # Without an intact frame after it, the file counts as truncated here.
     if offset + _HEADER.size > len(blob):
         return False
     length, _ = _HEADER.unpack_from(blob, offset)
-    following = offset + _HEADER.size + length
-    if _read(blob, following) is not None:
+    next_offset = offset + _HEADER.size + length
+    if _read_frame(blob, next_offset) is not None:
         return True
     return any(
-        _read(blob, start) is not None
+        _read_frame(blob, start) is not None
         for start in range(offset + 1, len(blob) - _HEADER.size)
     )
--- a/mulberrywalk/storage/frame_test.py
+++ b/mulberrywalk/storage/frame_test.py
@@ -1,26 +1,26 @@
-"""Frames are found and told from arbitrary bytes, quickly."""
+"""Tests that frames are told apart from arbitrary bytes in little time."""
 
 import random
 import time
 
 from . import frame
 
-TORN_BYTES = 300_000
-# A replica that comes back is waited for.
-LONGEST_S = 0.7
+TORN_PAYLOAD_BYTES = 300_000
+# The limit on the time that unpack adds to the start of a replica.
+MAX_UNPACK_S = 0.7
 
 
-def test_a_large_torn_end_is_told_quickly():
+def test_unpack_detects_a_large_torn_write_quickly():
     intact = frame.pack(b'first')
-    torn = frame.pack(random.Random(1).randbytes(TORN_BYTES))[:-1]
-    began_at = time.process_time()
-    found = frame.unpack(intact + torn)
-    assert time.process_time() - began_at < LONGEST_S
-    assert found.payloads == [b'first']
-    assert not found.is_damaged
+    torn = frame.pack(random.Random(1).randbytes(TORN_PAYLOAD_BYTES))[:-1]
+    started_at = time.process_time()
+    frames = frame.unpack(intact + torn)
+    assert time.process_time() - started_at < MAX_UNPACK_S
+    assert frames.payloads == [b'first']
+    assert not frames.is_damaged
 
 
-def test_a_frame_behind_a_bad_one_tells_damage():
+def test_unpack_reports_damage_before_an_intact_frame():
     blob = bytearray(frame.pack(b'first') + frame.pack(b'second'))
     blob[len(frame.pack(b'first')) - 1] ^= 1
     assert frame.unpack(bytes(blob)).is_damaged
