--- a/mulberrywalk/consensus/election.py
+++ b/mulberrywalk/consensus/election.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from . import message, node, restart_proof
+from . import message, node, restart
 
 
 def become_follower(
@@ -33,8 +33,8 @@
 def reset_election_timer(state: node.Node) -> None:
     """Restart the election timer."""
     timeout = node.election_timeout(state)
-    if restart_proof.uses_early_timeout(state):
-        timeout = restart_proof.early_timeout(state)
+    if restart.uses_early_timeout(state):
+        timeout = restart.early_timeout(state)
     state.election_due_at = state.now + timeout
 
 
@@ -55,7 +55,7 @@
         return False
     if state.role is node.Role.LEADER:
         return node.holds_lease(state, state.now)
-    return may_leader_hold_lease(state) and not restart_proof.is_valid(
+    return may_leader_hold_lease(state) and not restart.is_valid_proof(
         state, body
     )
 
@@ -69,7 +69,7 @@
     set_role(state, node.Role.PRE_CANDIDATE, effects)
     state.leader = None
     state.votes_granted = {state.identity}
-    restart_proof.start_round(state)
+    restart.start_round(state)
     if _has_won(state):
         start_election(state, effects, handover=False)
         return
@@ -86,7 +86,7 @@
     state: node.Node, effects: list[node.Effect], *, handover: bool
 ) -> None:
     """Start a new term, vote for this replica and request votes."""
-    proof = state.restarted_voters if restart_proof.is_complete(state) else {}
+    proof = state.restarted_voters if restart.is_proof_complete(state) else {}
     state.term += 1
     state.vote = state.identity
     state.leader = None
@@ -158,7 +158,7 @@
     )
     granted = is_unleased and body.term > state.term and is_log_up_to_date
     if not is_log_up_to_date and (
-        is_unleased or restart_proof.has_seen_no_leader(state)
+        is_unleased or restart.has_seen_no_leader(state)
     ):
         # The sender's log is behind, so it cannot win this vote: start an
         # election here without waiting for the timeout.
@@ -168,7 +168,7 @@
     reply = message.PreVoteReply(
         body.term if granted else state.term,
         granted,
-        *restart_proof.reply_fields(state, body),
+        *restart.reply_fields(state, body),
     )
     effects.append(node.Send(sender, reply, is_after_sync=False))
 
@@ -185,10 +185,10 @@
     if not body.granted and body.term > state.term:
         become_follower(state, body.term, effects)
         return
-    restart_proof.record_reply(state, sender, body)
+    restart.record_reply(state, sender, body)
     if body.granted and body.term == state.term + 1:
         state.votes_granted.add(sender)
-    if _has_won(state) or restart_proof.is_complete(state):
+    if _has_won(state) or restart.is_proof_complete(state):
         start_election(state, effects, handover=False)
 
 
--- a/mulberrywalk/consensus/raft_test.py
+++ b/mulberrywalk/consensus/raft_test.py
@@ -54,10 +54,8 @@
     def log(self, founders):
         restored = log.Log(0, 0, founders)
         if self.snapshot:
-            snapshot = self.snapshot
-            restored = log.Log(
-                snapshot.index, snapshot.term, snapshot.membership
-            )
+            latest = self.snapshot
+            restored = log.Log(latest.index, latest.term, latest.membership)
         for entry in self.entries:
             if entry.index > restored.snapshot_index:
                 restored.append(entry)
@@ -101,8 +99,8 @@
             boot_id=next(self.boot_ids),
         )
         self.nodes[name] = state
-        payload = disk.snapshot.payload if disk.snapshot else b'[]'
-        self.applied[name] = msgspec.json.decode(payload)
+        saved_state = disk.snapshot.payload if disk.snapshot else b'[]'
+        self.applied[name] = msgspec.json.decode(saved_state)
         for entry in state.log.entries:
             if entry.index <= state.applied_index:
                 self.apply(name, node.Apply(entry))
@@ -140,11 +138,9 @@
             assert other == name, f'two leaders in term {effect.term}'
 
     def send_snapshot(self, name, effect):
-        snapshot = self.disks[name].snapshot
-        if snapshot is not None:
-            body = message.SnapshotRequest(
-                effect.term, snapshot, effect.sent_at
-            )
+        latest = self.disks[name].snapshot
+        if latest is not None:
+            body = message.SnapshotRequest(effect.term, latest, effect.sent_at)
             self.network.append((name, effect.receiver, body))
 
     def apply(self, name, effect):
@@ -156,14 +152,14 @@
         self.applied[name].append(entry.payload.decode('latin-1'))
 
     def install(self, name, effect):
-        snapshot = effect.snapshot
+        installed = effect.snapshot
         disk = self.disks[name]
         disk.sync()
-        disk.snapshot = snapshot
+        disk.snapshot = installed
         disk.entries = [
-            entry for entry in disk.entries if entry.index > snapshot.index
+            entry for entry in disk.entries if entry.index > installed.index
         ]
-        self.applied[name] = msgspec.json.decode(snapshot.payload)
+        self.applied[name] = msgspec.json.decode(installed.payload)
 
     def sync(self, name):
         if name in self.paused:
@@ -222,7 +218,7 @@
     def check(self):
         states = self.nodes.values()
         leased = [
-            state for state in states if node.holds_lease(state, self.now)
+            replica for replica in states if node.holds_lease(replica, self.now)
         ]
         assert len(leased) <= 1, 'two replicas hold a leader lease'
         for state in self.nodes.values():
@@ -407,7 +403,7 @@
         cluster.run(100)
         cluster.start(cluster.leader())
         cluster.run(1500)
-    expected = [str(number) for number in range(20)]
+    expected = [str(index) for index in range(20)]
     for applied in cluster.applied.values():
         assert [payload for payload in applied if payload] == expected
 
@@ -551,8 +547,8 @@
     request = message.AppendRequest(1, 0, 0, (entry(1, 1),), 0, 5)
     raft.step(state, node.Received('b', request))
     raft.step(state, node.Tick(5000))
-    request = message.VoteRequest(9, 0, 0, handover=False)
-    effects = raft.step(state, node.Received('c', request))
+    vote_request = message.VoteRequest(9, 0, 0, handover=False)
+    effects = raft.step(state, node.Received('c', vote_request))
     assert not sends(effects)[-1].body.granted
 
 
--- a/mulberrywalk/consensus/repair.py
+++ b/mulberrywalk/consensus/repair.py
@@ -49,9 +49,9 @@
     member = state.membership.find(replica)
     if member is None or replica == state.identity:
         return False
-    acknowledged_at = state.progress[replica].acknowledged_at
+    last_acknowledged_at = state.progress[replica].acknowledged_at
     return any(
-        state.progress[other.identity].acknowledged_at > acknowledged_at
+        state.progress[other.identity].acknowledged_at > last_acknowledged_at
         for other in state.membership.members
         if other.address == member.address
         and other.identity not in {replica, state.identity}
--- a/mulberrywalk/consensus/replication.py
+++ b/mulberrywalk/consensus/replication.py
@@ -59,13 +59,13 @@
     if body.term < state.term:
         return
     _record_leader_contact(state, sender, effects)
-    snapshot = body.snapshot
-    if snapshot.index > state.commit_index:
-        _install_snapshot(state, snapshot, effects)
+    received = body.snapshot
+    if received.index > state.commit_index:
+        _install_snapshot(state, received, effects)
     reply = message.AppendReply(
         state.term,
         succeeded=True,
-        match=snapshot.index,
+        match=received.index,
         sent_at=body.sent_at,
     )
     effects.append(node.Send(sender, reply, is_after_sync=True))
--- a/mulberrywalk/consensus/restart_proof.py
+++ b/mulberrywalk/consensus/restart.py
@@ -83,13 +83,13 @@
         state.restarted_voters[sender] = body.boot
 
 
-def is_complete(state: node.Node) -> bool:
+def is_proof_complete(state: node.Node) -> bool:
     """Return whether every voter has replied that it has seen no leader."""
     voters = set(state.membership.voters())
     return has_seen_no_leader(state) and voters <= state.restarted_voters.keys()
 
 
-def is_valid(state: node.Node, body: message.VoteRequest) -> bool:
+def is_valid_proof(state: node.Node, body: message.VoteRequest) -> bool:
     """Return whether the proof in a vote request is valid for this voter."""
     proof = dict(body.restarted)
     voters = set(state.membership.voters())
--- a/mulberrywalk/storage/disk.py
+++ b/mulberrywalk/storage/disk.py
@@ -170,9 +170,7 @@
         StorageError if the write fails: no part of the batch may then be
         acknowledged.
         """
-        votes = [
-            effect for effect in effects if isinstance(effect, node.SaveVote)
-        ]
+        votes = [save for save in effects if isinstance(save, node.SaveVote)]
         if votes:
             self._vote = votes[-1]
         records = [_to_record(effect) for effect in effects]
@@ -297,7 +295,7 @@
     path: pathlib.Path,
 ) -> None:
     new_entries = [
-        entry for entry in entries if entry.index > log.snapshot_index
+        stored for stored in entries if stored.index > log.snapshot_index
     ]
     if not new_entries:
         return
--- a/mulberrywalk/storage/disk_test.py
+++ b/mulberrywalk/storage/disk_test.py
@@ -91,13 +91,13 @@
     assert loaded.term_at(10) == 2
 
 
-@pytest.mark.parametrize('lost_byte_count', [1, 7, 20])
-def test_load_truncates_a_torn_write(folder, lost_byte_count):
+@pytest.mark.parametrize('lost_bytes', [1, 7, 20])
+def test_load_truncates_a_torn_write(folder, lost_bytes):
     opened = open_disk(folder)
     opened.write([entries(1, 5)])
     opened.write([entries(6, 9)])
     path = segments(folder)[-1]
-    path.write_bytes(path.read_bytes()[:-lost_byte_count])
+    path.write_bytes(path.read_bytes()[:-lost_bytes])
     assert disk.load(folder, 'a').log.last_index() == 5
     reopened = open_disk(folder)
     reopened.write([entries(6, 7)])
