--- a/mulberrywalk/consensus/election.py
+++ b/mulberrywalk/consensus/election.py
@@ -150,15 +150,15 @@
     effects: list[node.Effect],
 ) -> None:
     """Answer a pre-vote request; granting it promises nothing."""
-    is_unleased = not (
+    is_free_of_lease = not (
         state.role is node.Role.LEADER or may_leader_hold_lease(state)
     )
     is_log_up_to_date = _is_log_up_to_date(
         state, body.last_index, body.last_term
     )
-    granted = is_unleased and body.term > state.term and is_log_up_to_date
+    granted = is_free_of_lease and body.term > state.term and is_log_up_to_date
     if not is_log_up_to_date and (
-        is_unleased or restart.has_seen_no_leader(state)
+        is_free_of_lease or restart.has_seen_no_leader(state)
     ):
         # The sender's log is behind, so it cannot win this vote: start an
         # election here without waiting for the timeout.
--- a/mulberrywalk/consensus/leadership.py
+++ b/mulberrywalk/consensus/leadership.py
@@ -66,7 +66,7 @@
     """
     if not can_change_membership(state):
         return
-    if not _differs_by_one(state.membership, event.membership):
+    if not _differs_by_at_most_one_voter(state.membership, event.membership):
         return
     entry = message.LogEntry(
         state.log.last_index() + 1,
@@ -162,7 +162,9 @@
         replication.refresh_membership(state)
 
 
-def _differs_by_one(old: message.Membership, new: message.Membership) -> bool:
+def _differs_by_at_most_one_voter(
+    old: message.Membership, new: message.Membership
+) -> bool:
     return len(set(old.voters()) ^ set(new.voters())) <= 1
 
 
