--- a/mulberrywalk/replica/link.py
+++ b/mulberrywalk/replica/link.py
@@ -137,7 +137,9 @@
         have just lost its connection to it.
         """
         raft_node = self._engine.node
-        if not raft_node.leader or not election.is_leased(raft_node):
+        if not raft_node.leader or not election.may_leader_hold_lease(
+            raft_node
+        ):
             return ''
         member = raft_node.membership.find(raft_node.leader)
         is_other = member is not None and raft_node.leader != raft_node.identity
--- a/mulberrywalk/replica/program.py
+++ b/mulberrywalk/replica/program.py
@@ -70,7 +70,9 @@
         checker.errors.append(f'--name: {name!r} is not among the founders')
     checker.exit_on_errors()
     try:
-        storage.found(pathlib.Path(folder), message.Membership(members), name)
+        storage.create_identity(
+            pathlib.Path(folder), message.Membership(members), name
+        )
     except storage.StorageError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(_EXIT_STORAGE) from error
@@ -325,7 +327,7 @@
     """Return whether this replica is a member and leads or hears a leader."""
     raft_node = replica_engine.node
     is_member = raft_node.membership.find(raft_node.identity) is not None
-    silent_ms = raft_node.now - raft_node.heard_at
+    silent_ms = raft_node.now - raft_node.leader_contact_at
     has_leader = (
         raft_node.role is node.Role.LEADER or silent_ms < _LEADER_TIMEOUT_MS
     )
