--- a/mulberrywalk/tools/baseline.py
+++ b/mulberrywalk/tools/baseline.py
@@ -10,7 +10,7 @@
 from ..core import resource
 from . import replay
 
-QUEUE_LIMIT = 10_000
+MAX_QUEUED_TASKS = 10_000
 
 
 class FirstFit:
@@ -18,7 +18,7 @@
 
     def __init__(self, plan: replay.FleetPlan) -> None:
         """Start with empty targets."""
-        self.seen = replay.Seen()
+        self.metrics = replay.RunMetrics()
         self._free = [plan.capacity for _ in range(plan.targets)]
         self._total = plan.capacity.millicores * plan.targets
         self._queue: collections.deque[tuple[replay.Arrival, int]] = (
@@ -29,20 +29,20 @@
 
     def run(
         self, arrivals: Iterable[replay.Arrival], until: int
-    ) -> replay.Seen:
+    ) -> replay.RunMetrics:
         """Replay arrivals in order of time; stop at a time in ms."""
         for arrival in arrivals:
-            self._run_ends(arrival.at)
+            self._run_ends(arrival.submit_at)
             self._submit(arrival)
-            self._place(arrival.at)
+            self._place(arrival.submit_at)
         self._run_ends(until)
-        return self.seen
+        return self.metrics
 
     def _submit(self, arrival: replay.Arrival) -> None:
         count = len(arrival.specification.tasks)
-        self.seen.submitted[arrival.label] += count
-        if len(self._queue) + count > QUEUE_LIMIT:
-            self.seen.refused[arrival.label] += count
+        self.metrics.submitted[arrival.label] += count
+        if len(self._queue) + count > MAX_QUEUED_TASKS:
+            self.metrics.refused[arrival.label] += count
             return
         self._queue.extend((arrival, number) for number in range(count))
 
@@ -52,7 +52,7 @@
             self._free[place] = resource.add(
                 self._free[place], arrival.specification.tasks[0].demand()
             )
-            self.seen.completed[arrival.label] += 1
+            self.metrics.completed[arrival.label] += 1
             self._place(at)
 
     def _place(self, now: int) -> None:
@@ -64,13 +64,13 @@
                 break
             self._queue.popleft()
             self._free[place] = resource.subtract(self._free[place], demand)
-            self.seen.waits[arrival.label].append(now - arrival.at)
+            self.metrics.waits[arrival.label].append(now - arrival.submit_at)
             end = (now + arrival.run_ms, next(self._numbers), place, arrival)
             heapq.heappush(self._ends, end)
         if self._queue:
             free = sum(one.millicores for one in self._free)
             used = resource.PARTS_PER_MILLION * (self._total - free)
-            self.seen.packed.append(used // self._total)
+            self.metrics.utilization_ppm.append(used // self._total)
 
     def _find(self, demand: resource.Resources) -> int | None:
         return next(
--- a/mulberrywalk/tools/command.py
+++ b/mulberrywalk/tools/command.py
@@ -45,7 +45,7 @@
     configuration, name='config', help='Show and patch the configuration.'
 )
 
-Entries = Annotated[
+EntriesOption = Annotated[
     str,
     typer.Option(
         '--entries',
@@ -53,16 +53,16 @@
         help='HOST:PORT of entries, with commas between them.',
     ),
 ]
-AsJson = Annotated[bool, typer.Option('--json', help='JSON for scripts.')]
-JobName = Annotated[str, typer.Argument(metavar='JOB')]
+JsonOption = Annotated[bool, typer.Option('--json', help='JSON for scripts.')]
+JobArgument = Annotated[str, typer.Argument(metavar='JOB')]
 
 
 @application.command()
 def submit(
     path: Annotated[str, typer.Argument(metavar='FILE', help='- for stdin')],
-    entries: Entries = _ENTRIES,
+    entries: EntriesOption = _ENTRIES,
     wait: Annotated[float, typer.Option(help='Seconds.')] = 0,
-    is_json: AsJson = False,
+    is_json: JsonOption = False,
 ) -> None:
     """Submit the job that a JSON file describes.
 
@@ -76,10 +76,10 @@
 
 @application.command()
 def status(
-    job: JobName,
-    entries: Entries = _ENTRIES,
+    job: JobArgument,
+    entries: EntriesOption = _ENTRIES,
     wait: Annotated[float, typer.Option(help='Seconds.')] = 0,
-    is_json: AsJson = False,
+    is_json: JsonOption = False,
 ) -> None:
     """Show a job and its tasks."""
     answered = _ask(entries, 'GET', f'/v1/jobs/{job}?wait={wait}')
@@ -88,9 +88,9 @@
 
 @application.command()
 def explain(
-    job: JobName,
-    entries: Entries = _ENTRIES,
-    is_json: AsJson = False,
+    job: JobArgument,
+    entries: EntriesOption = _ENTRIES,
+    is_json: JsonOption = False,
 ) -> None:
     """Show why a job waits or where it ran."""
     answered = _ask(entries, 'GET', f'/v1/jobs/{job}/explanation')
@@ -99,9 +99,9 @@
 
 @application.command()
 def cancel(
-    job: JobName,
-    entries: Entries = _ENTRIES,
-    is_json: AsJson = False,
+    job: JobArgument,
+    entries: EntriesOption = _ENTRIES,
+    is_json: JsonOption = False,
 ) -> None:
     """Cancel a job."""
     answered = _ask(entries, 'DELETE', f'/v1/jobs/{job}')
@@ -109,7 +109,9 @@
 
 
 @application.command()
-def members(entries: Entries = _ENTRIES, is_json: AsJson = False) -> None:
+def members(
+    entries: EntriesOption = _ENTRIES, is_json: JsonOption = False
+) -> None:
     """Show the replicas and the entries."""
     answered = _ask(entries, 'GET', '/v1/members')
     rows = [*answered.get('replicas', ()), *answered.get('entries', ())]
@@ -117,7 +119,9 @@
 
 
 @application.command()
-def targets(entries: Entries = _ENTRIES, is_json: AsJson = False) -> None:
+def targets(
+    entries: EntriesOption = _ENTRIES, is_json: JsonOption = False
+) -> None:
     """Show the targets."""
     answered = _ask(entries, 'GET', '/v1/targets')
     _show(answered, is_json=is_json, rows=answered.get('targets'))
@@ -126,8 +130,8 @@
 @application.command()
 def drain(
     target: Annotated[str, typer.Argument(metavar='TARGET')],
-    entries: Entries = _ENTRIES,
-    is_json: AsJson = False,
+    entries: EntriesOption = _ENTRIES,
+    is_json: JsonOption = False,
 ) -> None:
     """Let a target take no new work; what runs there goes on."""
     answered = _ask(entries, 'POST', f'/v1/targets/{target}/departure', {})
@@ -136,13 +140,13 @@
 
 @application.command()
 def timeline(
-    entries: Entries = _ENTRIES,
+    entries: EntriesOption = _ENTRIES,
     job: str = '',
     task: str = '',
     target: str = '',
     since: Annotated[int, typer.Option(help='ms since 1970')] = 0,
     until: Annotated[int, typer.Option(help='ms since 1970')] = 0,
-    is_json: AsJson = False,
+    is_json: JsonOption = False,
 ) -> None:
     """Show the events of all processes in causal order."""
     wanted = journal.Filter(job, task, target, since, until)
@@ -162,11 +166,11 @@
 
 @configuration.command('show')
 def show_configuration(
-    entries: Entries = _ENTRIES,
+    entries: EntriesOption = _ENTRIES,
     reach: Annotated[
         bool, typer.Option('--reach', help='The version of each process.')
     ] = False,
-    is_json: AsJson = False,
+    is_json: JsonOption = False,
 ) -> None:
     """Show the configuration in force."""
     answered = _ask(entries, 'GET', '/v1/configuration')
@@ -186,11 +190,11 @@
 def patch_configuration(
     path: Annotated[str, typer.Argument(metavar='FILE', help='- for stdin')],
     version: Annotated[int, typer.Option(help='The version to amend.')],
-    entries: Entries = _ENTRIES,
+    entries: EntriesOption = _ENTRIES,
     request_id: Annotated[
         str, typer.Option(help='Resend under the same id.')
     ] = '',
-    is_json: AsJson = False,
+    is_json: JsonOption = False,
 ) -> None:
     """Apply the JSON merge patch of a file to a version."""
     text = sys.stdin.read() if path == '-' else pathlib.Path(path).read_text()
--- a/mulberrywalk/tools/load.py
+++ b/mulberrywalk/tools/load.py
@@ -32,12 +32,12 @@
     add_completion=False, no_args_is_help=True, help=__doc__
 )
 
-MixFile = Annotated[pathlib.Path, typer.Argument(metavar='MIX')]
-Folder = Annotated[
+MixArgument = Annotated[pathlib.Path, typer.Argument(metavar='MIX')]
+ReportOption = Annotated[
     pathlib.Path, typer.Option('--report', help='Folder for the report.')
 ]
 
-FaultsFile = Annotated[
+FaultsOption = Annotated[
     pathlib.Path | None,
     typer.Option('--faults', help='JSON file of what goes wrong.'),
 ]
@@ -45,10 +45,10 @@
 
 @application.command('replay')
 def run_replay(
-    path: MixFile,
+    path: MixArgument,
     seed: int = 1,
-    faults: FaultsFile = None,
-    folder: Folder = _REPORT,
+    faults: FaultsOption = None,
+    folder: ReportOption = _REPORT,
 ) -> None:
     """Replay a mix over the reducer: without and with its flood.
 
@@ -69,14 +69,14 @@
 
 @application.command('run')
 def run_processes(
-    path: MixFile,
+    path: MixArgument,
     entries: Annotated[str, typer.Option(envvar='MULBERRYWALK_ENTRIES')],
     seed: int = 1,
-    faults: FaultsFile = None,
+    faults: FaultsOption = None,
     is_calm: Annotated[
         bool, typer.Option('--calm', help='Leave the flood out.')
     ] = False,
-    folder: Folder = _REPORT,
+    folder: ReportOption = _REPORT,
 ) -> None:
     """Submit a mix to running entries, open loop, and time the answers.
 
@@ -88,18 +88,18 @@
     addresses = tuple(entries.split(','))
     began_at = time.monotonic()
     before = _read_costs(addresses)
-    seen = anyio.run(_submit_all, planned, addresses, seed)
+    metrics = anyio.run(_submit_all, planned, addresses, seed)
     seconds = time.monotonic() - began_at
     control = report.compare_costs(
-        before, _read_costs(addresses), seen.starts, seconds
+        before, _read_costs(addresses), metrics.starts, seconds
     )
     run = msgspec.structs.replace(
-        report.summarize('processes', seen), control=control
+        report.summarize('processes', metrics), control=control
     )
     _finish(report.Report(_command(), seed, (run,)), folder)
 
 
-def _read_costs(addresses: tuple[str, ...]) -> report.Costs:
+def _read_costs(addresses: tuple[str, ...]) -> report.ProcessCosts:
     """Return what each process has consumed, as the leader was told."""
     url = f'http://{addresses[0]}/v1/members'
     shown = httpx.get(url, timeout=_ANSWER_S).json()
@@ -121,27 +121,27 @@
 
 
 def _replay_one(name: str, planned: mix.Mix, seed: int) -> report.RunReport:
-    running = replay.Replay(planned.plan())
+    running = replay.Replay(planned.fleet_plan())
     until = planned.duration_ms + _SETTLE_MS
     return report.summarize(
-        name, running.run(mix.arrivals(planned, seed), until)
+        name, running.run(mix.generate_arrivals(planned, seed), until)
     )
 
 
 def _replay_baseline(
     name: str, planned: mix.Mix, seed: int
 ) -> report.RunReport:
-    running = baseline.FirstFit(planned.plan())
+    running = baseline.FirstFit(planned.fleet_plan())
     until = planned.duration_ms + _SETTLE_MS
     return report.summarize(
-        name, running.run(mix.arrivals(planned, seed), until)
+        name, running.run(mix.generate_arrivals(planned, seed), until)
     )
 
 
 async def _submit_all(
     planned: mix.Mix, addresses: tuple[str, ...], seed: int
-) -> replay.Seen:
-    seen = replay.Seen()
+) -> replay.RunMetrics:
+    metrics = replay.RunMetrics()
     turns = itertools.cycle(addresses)
     # No bound: a request that waited for a connection of a flood's would
     # be counted as waiting for the cell.
@@ -151,12 +151,12 @@
         httpx.AsyncClient(timeout=_ANSWER_S, limits=limits) as client,
         anyio.create_task_group() as group,
     ):
-        for arrival in mix.arrivals(planned, seed):
-            due_at = began_at + arrival.at / _MS_PER_S
+        for arrival in mix.generate_arrivals(planned, seed):
+            due_at = began_at + arrival.submit_at / _MS_PER_S
             await anyio.sleep(max(0, due_at - time.monotonic()))
             url = f'http://{next(turns)}/v1/jobs?wait={_ANSWER_S}'
-            group.start_soon(submit, client, url, arrival, due_at, seen)
-    return seen
+            group.start_soon(submit, client, url, arrival, due_at, metrics)
+    return metrics
 
 
 async def submit(
@@ -164,14 +164,14 @@
     url: str,
     arrival: replay.Arrival,
     due_at: float,
-    seen: replay.Seen,
+    metrics: replay.RunMetrics,
 ) -> None:
     """Submit a job, wait for its answer and count what it tells.
 
     due_at is the intended start on the monotonic clock, in seconds.
     """
     count = len(arrival.specification.tasks)
-    seen.submitted[arrival.label] += count
+    metrics.submitted[arrival.label] += count
     body = msgspec.json.encode(arrival.specification)
     try:
         answered = await client.post(url, content=body)
@@ -181,20 +181,20 @@
         # Still waiting or running when the answer was due: not refused.
         return
     if answered.status_code != _OK:
-        seen.refused[arrival.label] += count
+        metrics.refused[arrival.label] += count
         return
     ended = answered.json()
     if not ended.get('ended_at'):
         return
     if ended['state'] == job.JobState.CANCELLED.value:
-        seen.cancelled[arrival.label] += count
+        metrics.cancelled[arrival.label] += count
         return
     attempts = sum(task['attempts'] for task in ended['tasks'])
-    seen.retried[arrival.label] += attempts - count
+    metrics.retried[arrival.label] += attempts - count
     answer_ms = round((time.monotonic() - due_at) * _MS_PER_S)
-    seen.waits[arrival.label].append(max(0, answer_ms - arrival.run_ms))
-    seen.completed[arrival.label] += count
-    seen.starts += count
+    metrics.waits[arrival.label].append(max(0, answer_ms - arrival.run_ms))
+    metrics.completed[arrival.label] += count
+    metrics.starts += count
 
 
 def _finish(made: report.Report, folder: pathlib.Path) -> None:
--- a/mulberrywalk/tools/load_test.py
+++ b/mulberrywalk/tools/load_test.py
@@ -22,15 +22,15 @@
     ],
 )
 def test_submit_counts_by_answer(status, body, counted):
-    seen = replay.Seen()
-    arrival = mix.arrivals(mix_test.PLANNED, 1)[0]
+    metrics = replay.RunMetrics()
+    arrival = mix.generate_arrivals(mix_test.PLANNED, 1)[0]
 
     async def ask():
         transport = httpx.MockTransport(
             lambda _: httpx.Response(status, json=body)
         )
         async with httpx.AsyncClient(transport=transport) as client:
-            await load_tool.submit(client, 'http://a/', arrival, 0, seen)
+            await load_tool.submit(client, 'http://a/', arrival, 0, metrics)
 
     anyio.run(ask)
-    assert {name: getattr(seen, name)['sort'] for name in counted} == counted
+    assert {name: getattr(metrics, name)['sort'] for name in counted} == counted
--- a/mulberrywalk/tools/mix.py
+++ b/mulberrywalk/tools/mix.py
@@ -13,10 +13,10 @@
 from ..core import job, resource
 from . import replay
 
-MEBIBYTE_BITS = 20
+MIB_SHIFT = 20
 
 
-class Work(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class Workload(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One kind of work; share is its part of the cell's processors.
 
     run_ms is the mean of an exponential distribution, at least a tenth of it.
@@ -36,9 +36,9 @@
 
 
 class Flood(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Work that arrives at a multiple of what the cell can hold."""
+    """Workload that arrives at a multiple of what the cell can hold."""
 
-    work: Work
+    work: Workload
     from_ms: int
     until_ms: int
 
@@ -74,14 +74,14 @@
     rack_size: int
     data_centres: int
     duration_ms: int
-    works: tuple[Work, ...]
+    works: tuple[Workload, ...]
     flood: Flood | None = None
     faults: Faults = Faults()
 
-    def plan(self) -> replay.FleetPlan:
+    def fleet_plan(self) -> replay.FleetPlan:
         """Return the fleet of the deployment."""
         capacity = resource.Resources(
-            self.millicores, self.memory_mb << MEBIBYTE_BITS, 0, self.slots
+            self.millicores, self.memory_mb << MIB_SHIFT, 0, self.slots
         )
         return replay.FleetPlan(
             self.targets,
@@ -93,10 +93,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Draw:
+class ArrivalParameters:
     """When a job arrives, its number, and its use of declared memory."""
 
-    at: int
+    submit_at: int
     number: int
     memory_factor: float
 
@@ -111,7 +111,7 @@
     return msgspec.json.decode(path.read_bytes(), type=Faults)
 
 
-def arrivals(planned: Mix, seed: int) -> list[replay.Arrival]:
+def generate_arrivals(planned: Mix, seed: int) -> list[replay.Arrival]:
     """Return the jobs of a mix in order of their arrival."""
     made = [
         arrival
@@ -131,13 +131,13 @@
     for wave in planned.faults.cancel_waves:
         dice = random.Random(seed * 1000 + wave.at_ms)  # noqa: S311
         made = [_cancel(arrival, wave, dice) for arrival in made]
-    return sorted(made, key=lambda arrival: arrival.at)
+    return sorted(made, key=lambda arrival: arrival.submit_at)
 
 
 def _cancel(
     arrival: replay.Arrival, wave: CancelWave, dice: random.Random
 ) -> replay.Arrival:
-    if arrival.label != wave.label or arrival.at >= wave.at_ms:
+    if arrival.label != wave.label or arrival.submit_at >= wave.at_ms:
         return arrival
     if dice.random() >= wave.share:
         return arrival
@@ -146,7 +146,7 @@
 
 def _arrive(
     planned: Mix,
-    work: Work,
+    work: Workload,
     dice: random.Random,
     window: tuple[int, int],
 ) -> Iterator[replay.Arrival]:
@@ -162,14 +162,16 @@
             return
         number += 1
         factor = planned.faults.memory_factor.get(work.label, 0)
-        yield _make(work, dice, Draw(round(at), number, factor))
+        yield _make(work, dice, ArrivalParameters(round(at), number, factor))
 
 
-def _make(work: Work, dice: random.Random, draw: Draw) -> replay.Arrival:
+def _make(
+    work: Workload, dice: random.Random, draw: ArrivalParameters
+) -> replay.Arrival:
     drawn_ms = round(dice.expovariate(1 / work.run_ms))
     run_ms = max(work.run_ms // 10, drawn_ms)
     millicores = dice.choice(work.millicores)
-    memory_bytes = dice.choice(work.memory_mb) << MEBIBYTE_BITS
+    memory_bytes = dice.choice(work.memory_mb) << MIB_SHIFT
     used_bytes = round(memory_bytes * draw.memory_factor)
     payload = {'run_ms': run_ms, 'label': f'{work.label}{draw.number}'}
     if used_bytes:
@@ -188,5 +190,5 @@
         urgency=work.urgency,
     )
     return replay.Arrival(
-        draw.at, work.label, specification, run_ms, used_bytes
+        draw.submit_at, work.label, specification, run_ms, used_bytes
     )
--- a/mulberrywalk/tools/mix_test.py
+++ b/mulberrywalk/tools/mix_test.py
@@ -17,7 +17,7 @@
     data_centres=2,
     duration_ms=4000,
     works=(
-        mix.Work(
+        mix.Workload(
             label='sort',
             kind='batch',
             urgency='low',
@@ -33,27 +33,31 @@
 
 def run(faults):
     planned = msgspec.structs.replace(PLANNED, faults=faults)
-    running = replay.Replay(planned.plan())
-    return running.run(mix.arrivals(planned, 1), until=60_000)
+    running = replay.Replay(planned.fleet_plan())
+    return running.run(mix.generate_arrivals(planned, 1), until=60_000)
 
 
 def test_arrivals_are_a_function_of_the_seed():
-    assert mix.arrivals(PLANNED, 1) == mix.arrivals(PLANNED, 1)
-    assert mix.arrivals(PLANNED, 1) != mix.arrivals(PLANNED, 2)
+    assert mix.generate_arrivals(PLANNED, 1) == mix.generate_arrivals(
+        PLANNED, 1
+    )
+    assert mix.generate_arrivals(PLANNED, 1) != mix.generate_arrivals(
+        PLANNED, 2
+    )
 
 
 def test_black_hole_costs_retries_and_loses_nothing():
-    seen = run(mix.Faults(black_holes=1))
-    assert seen.retried['sort'] > 0
-    assert seen.completed['sort'] == seen.submitted['sort']
+    metrics = run(mix.Faults(black_holes=1))
+    assert metrics.retried['sort'] > 0
+    assert metrics.completed['sort'] == metrics.submitted['sort']
 
 
 def test_cancel_wave_ends_what_waits_or_runs():
     wave = mix.CancelWave('sort', at_ms=2000, share=1)
-    seen = run(mix.Faults(cancel_waves=(wave,)))
-    assert seen.cancelled['sort'] > 0
-    ended = seen.completed['sort'] + seen.cancelled['sort']
-    assert ended == seen.submitted['sort']
+    metrics = run(mix.Faults(cancel_waves=(wave,)))
+    assert metrics.cancelled['sort'] > 0
+    ended = metrics.completed['sort'] + metrics.cancelled['sort']
+    assert ended == metrics.submitted['sort']
 
 
 def test_faults_of_the_repository_can_be_read():
--- a/mulberrywalk/tools/replay.py
+++ b/mulberrywalk/tools/replay.py
@@ -25,9 +25,9 @@
 )
 
 NS_PER_MS = 1_000_000
-BATCH_MS = 5
-START_MS = 2
-USAGE_MS = 1000
+BATCH_WINDOW_MS = 5
+TARGET_RESPONSE_MS = 2
+USAGE_REPORT_DELAY_MS = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
     cancel_at is when its caller cancels it, zero for never.
     """
 
-    at: int
+    submit_at: int
     label: str
     specification: job.Specification
     run_ms: int
@@ -61,12 +61,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Seen:
-    """What a replay has seen; waits in milliseconds by label.
+class RunMetrics:
+    """Measurements of a run; waits in milliseconds by label.
 
-    retried counts attempts beyond the first of a task. packed lists, over
-    the passes that left work waiting, the used part of the processors in
-    parts per million.
+    retried counts attempts beyond the first of a task. utilization_ppm has
+    one sample, the used share of the processors in parts per million, for
+    each placement pass that left tasks waiting. reducer_ns has the duration
+    of each reducer call.
     """
 
     waits: dict[str, list[int]] = dataclasses.field(
@@ -87,9 +88,9 @@
     retried: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    packed: list[int] = dataclasses.field(default_factory=list)
+    utilization_ppm: list[int] = dataclasses.field(default_factory=list)
     starts: int = 0
-    event_ns: list[int] = dataclasses.field(default_factory=list)
+    reducer_ns: list[int] = dataclasses.field(default_factory=list)
 
 
 class Replay:
@@ -98,16 +99,18 @@
     def __init__(self, plan: FleetPlan) -> None:
         """Open the sessions of all targets."""
         self.tables = state.State()
-        self.seen = Seen()
+        self.metrics = RunMetrics()
         self._now = 1
         self._timers: list[tuple[int, int, event.Event]] = []
         self._numbers = itertools.count()
         self._labels: dict[identity.JobId, Arrival] = {}
         self._black_holes = {f't{number}' for number in range(plan.black_holes)}
         for number in range(plan.targets):
-            self._apply(event.SessionOpened(self._now, announce(plan, number)))
+            self._apply(
+                event.SessionOpened(self._now, make_announcement(plan, number))
+            )
 
-    def run(self, arrivals: Iterable[Arrival], until: int) -> Seen:
+    def run(self, arrivals: Iterable[Arrival], until: int) -> RunMetrics:
         """Replay arrivals in order of time; stop at a time in ms."""
         for at, batch in itertools.groupby(arrivals, key=_batch_of):
             self._run_timers(at)
@@ -116,19 +119,19 @@
                 self._submit(arrival)
             self._dispatch()
         self._run_timers(until)
-        return self.seen
+        return self.metrics
 
     def _run_timers(self, until: int) -> None:
         while self._timers and self._timers[0][0] <= until:
             self._now = max(self._now, self._timers[0][0])
-            last = self._now + BATCH_MS
+            last = self._now + BATCH_WINDOW_MS
             while self._timers and self._timers[0][0] <= min(last, until):
                 self._apply(heapq.heappop(self._timers)[2])
             self._dispatch()
 
     def _submit(self, arrival: Arrival) -> None:
         count = len(arrival.specification.tasks)
-        self.seen.submitted[arrival.label] += count
+        self.metrics.submitted[arrival.label] += count
         submitted = event.JobSubmitted(self._now, arrival.specification, '')
         answer = self._apply(submitted)[0]
         told = answer.outcome if isinstance(answer, effect.Answer) else None
@@ -138,7 +141,7 @@
                 cancelled = event.JobCancelled(arrival.cancel_at, told.job)
                 self._later(arrival.cancel_at - self._now, cancelled)
         else:
-            self.seen.refused[arrival.label] += count
+            self.metrics.refused[arrival.label] += count
 
     def _dispatch(self) -> None:
         self._apply(event.TimePassed(self._now))
@@ -148,27 +151,29 @@
                 for load in self.tables.fleet.loads.values()
             )
             whole = self.tables.fleet.total.millicores or 1
-            self.seen.packed.append(used * resource.PARTS_PER_MILLION // whole)
+            self.metrics.utilization_ppm.append(
+                used * resource.PARTS_PER_MILLION // whole
+            )
 
     def _start(self, attempt: job.Attempt) -> None:
         task = self.tables.tasks[attempt.task]
         arrival = self._labels[task.job]
         if task.attempts == 1:
-            waited = self._now - arrival.at
-            self.seen.waits[arrival.label].append(waited)
+            waited = self._now - arrival.submit_at
+            self.metrics.waits[arrival.label].append(waited)
         else:
-            self.seen.retried[arrival.label] += 1
-        self.seen.starts += 1
+            self.metrics.retried[arrival.label] += 1
+        self.metrics.starts += 1
         if attempt.target in self._black_holes:
-            self._end_later(attempt, START_MS, job.EndReason.FAILED)
+            self._end_later(attempt, TARGET_RESPONSE_MS, job.EndReason.FAILED)
             return
         started = event.AttemptStart(attempt.attempt, self._now)
-        self._report_later(attempt, START_MS, started=(started,))
-        if arrival.used_bytes and arrival.run_ms > USAGE_MS:
+        self._report_later(attempt, TARGET_RESPONSE_MS, started=(started,))
+        if arrival.used_bytes and arrival.run_ms > USAGE_REPORT_DELAY_MS:
             used = event.AttemptUsage(
                 attempt.attempt, attempt.held.millicores, arrival.used_bytes
             )
-            self._report_later(attempt, USAGE_MS, usage=(used,))
+            self._report_later(attempt, USAGE_REPORT_DELAY_MS, usage=(used,))
         self._end_later(attempt, arrival.run_ms, job.EndReason.COMPLETED)
 
     def _end_later(
@@ -200,7 +205,7 @@
     def _apply(self, occurred: event.Event) -> list[effect.Effect]:
         began_at = time.perf_counter_ns()
         _, effects = reducer.reduce(self.tables, occurred)
-        self.seen.event_ns.append(time.perf_counter_ns() - began_at)
+        self.metrics.reducer_ns.append(time.perf_counter_ns() - began_at)
         for effected in effects:
             if isinstance(effected, effect.ReportJobEnd):
                 self._count_end(effected.job)
@@ -208,7 +213,7 @@
                 self._start(effected.attempt)
             elif isinstance(effected, effect.StopAttempt):
                 self._end_later(
-                    effected.attempt, START_MS, job.EndReason.STOPPED
+                    effected.attempt, TARGET_RESPONSE_MS, job.EndReason.STOPPED
                 )
         return effects
 
@@ -219,16 +224,16 @@
             return
         count = len(record.specification.tasks)
         if record.state is job.JobState.COMPLETED:
-            self.seen.completed[arrival.label] += count
+            self.metrics.completed[arrival.label] += count
         elif record.state is job.JobState.CANCELLED:
-            self.seen.cancelled[arrival.label] += count
+            self.metrics.cancelled[arrival.label] += count
 
 
 def _batch_of(arrival: Arrival) -> int:
-    return arrival.at // BATCH_MS * BATCH_MS
+    return arrival.submit_at // BATCH_WINDOW_MS * BATCH_WINDOW_MS
 
 
-def announce(plan: FleetPlan, number: int) -> event.Announcement:
+def make_announcement(plan: FleetPlan, number: int) -> event.Announcement:
     """Return the announcement of one target of a fleet."""
     rack = number // plan.rack_size
     centre = rack % plan.data_centres
--- a/mulberrywalk/tools/report.py
+++ b/mulberrywalk/tools/report.py
@@ -12,7 +12,7 @@
 from ..telemetry import cost
 from . import replay
 
-Costs = dict[str, cost.Cost]
+ProcessCosts = dict[str, cost.Cost]
 
 _LONGEST_MS = 86_400_000
 _DIGITS = 3
@@ -23,8 +23,8 @@
 _BYTES_PER_MB = 1_000_000
 
 
-class WorkReport(msgspec.Struct, frozen=True):
-    """What one kind of work has seen; waits in milliseconds."""
+class WorkloadReport(msgspec.Struct, frozen=True):
+    """Results of one workload; waits in milliseconds."""
 
     label: str
     submitted: int
@@ -51,7 +51,7 @@
     """One run; packed_percent is the used part while work waited."""
 
     name: str
-    works: tuple[WorkReport, ...]
+    works: tuple[WorkloadReport, ...]
     packed_percent: float
     starts: int
     control: tuple[ControlCost, ...] = ()
@@ -65,30 +65,35 @@
     runs: tuple[RunReport, ...]
 
 
-def summarize(name: str, seen: replay.Seen) -> RunReport:
+def summarize(name: str, metrics: replay.RunMetrics) -> RunReport:
     """Return the report of one run."""
     works = tuple(
-        summarize_work(label, seen) for label in sorted(seen.submitted)
+        summarize_workload(label, metrics)
+        for label in sorted(metrics.submitted)
     )
     packed = (
-        statistics.fmean(seen.packed) / _PPM_PER_PERCENT if seen.packed else 0
+        statistics.fmean(metrics.utilization_ppm) / _PPM_PER_PERCENT
+        if metrics.utilization_ppm
+        else 0
     )
-    return RunReport(name, works, round(packed, 1), seen.starts)
+    return RunReport(name, works, round(packed, 1), metrics.starts)
 
 
-def summarize_work(label: str, seen: replay.Seen) -> WorkReport:
-    """Return what one kind of work has seen."""
+def summarize_workload(
+    label: str, metrics: replay.RunMetrics
+) -> WorkloadReport:
+    """Return the results of one workload."""
     counted = histogram.HdrHistogram(1, _LONGEST_MS, _DIGITS)
-    for wait in seen.waits[label]:
+    for wait in metrics.waits[label]:
         # The histogram starts at one: a wait of nothing counts as that.
         counted.record_value(max(1, wait))
-    return WorkReport(
+    return WorkloadReport(
         label,
-        seen.submitted[label],
-        seen.refused[label],
-        seen.completed[label],
-        seen.cancelled[label],
-        seen.retried[label],
+        metrics.submitted[label],
+        metrics.refused[label],
+        metrics.completed[label],
+        metrics.cancelled[label],
+        metrics.retried[label],
         counted.get_value_at_percentile(_MEDIAN),
         counted.get_value_at_percentile(_TAIL),
         counted.get_max_value(),
@@ -96,7 +101,7 @@
 
 
 def compare_costs(
-    before: Costs, after: Costs, starts: int, seconds: float
+    before: ProcessCosts, after: ProcessCosts, starts: int, seconds: float
 ) -> tuple[ControlCost, ...]:
     """Return what each process has spent between two readings.
 
@@ -137,7 +142,7 @@
             f'<h1>Load, seed {report.seed}</h1><pre>{report.command}</pre>',
             io.to_html(plot_waits(report), full_html=False),
             io.to_html(
-                plot_kept(report), full_html=False, include_plotlyjs=False
+                plot_completion(report), full_html=False, include_plotlyjs=False
             ),
         )
     )
@@ -155,7 +160,7 @@
     return figure
 
 
-def plot_kept(report: Report) -> graph_objects.Figure:
+def plot_completion(report: Report) -> graph_objects.Figure:
     """Return the completed part of what was submitted, by kind and run."""
     figure = graph_objects.Figure()
     for run in report.runs:
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -65,8 +65,8 @@
     standing = round(targets * TASKS_PER_TARGET)
     fill = [arrival(number, at=0, run_ms=10**9) for number in range(standing)]
     running.run(fill, until=9)
-    running.seen.event_ns.clear()
-    running.seen.starts = 0
+    running.metrics.reducer_ns.clear()
+    running.metrics.starts = 0
     stream = [
         arrival(standing + number, at=10 + number * 2, run_ms=100)
         for number in range(MEASURED_TASKS)
@@ -75,8 +75,8 @@
     began_at = time.process_time()
     running.run(stream, until=10 + MEASURED_TASKS * 2 + 200)
     seconds = time.process_time() - began_at
-    times = sorted(running.seen.event_ns)
-    starts = running.seen.starts
+    times = sorted(running.metrics.reducer_ns)
+    starts = running.metrics.starts
     encoded_at = time.process_time()
     size = len(snapshot.encode(running.tables))
     encoded_ms = (time.process_time() - encoded_at) * 1000
