--- a/mulberrywalk/tools/__init__.py
+++ b/mulberrywalk/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Command line, load generation and the merged time line."""
+"""Command-line client, load generator and workload simulation."""
--- a/mulberrywalk/tools/baseline.py
+++ b/mulberrywalk/tools/baseline.py
@@ -1,4 +1,7 @@
-"""First come, first fit: what the scheduler is compared with."""
+"""First-come, first-served scheduler with first-fit placement.
+
+It is the baseline that the scheduler is compared with.
+"""
 
 from __future__ import annotations
 
@@ -14,31 +17,31 @@
 
 
 class FirstFit:
-    """One queue in order of arrival; its head waits until it fits."""
+    """Places tasks from one FIFO queue; the first task blocks the others."""
 
     def __init__(self, plan: replay.FleetPlan) -> None:
-        """Start with empty targets."""
+        """Start with an empty queue and idle targets."""
         self.metrics = replay.RunMetrics()
-        self._free = [plan.capacity for _ in range(plan.targets)]
-        self._total = plan.capacity.millicores * plan.targets
+        self._free_by_target = [plan.capacity for _ in range(plan.targets)]
+        self._total_millicores = plan.capacity.millicores * plan.targets
         self._queue: collections.deque[tuple[replay.Arrival, int]] = (
             collections.deque()
         )
-        self._ends: list[tuple[int, int, int, replay.Arrival]] = []
-        self._numbers = itertools.count()
+        self._pending_ends: list[tuple[int, int, int, replay.Arrival]] = []
+        self._sequence = itertools.count()
 
     def run(
         self, arrivals: Iterable[replay.Arrival], until: int
     ) -> replay.RunMetrics:
-        """Replay arrivals in order of time; stop at a time in ms."""
+        """Simulate arrivals, sorted by time, until a time in milliseconds."""
         for arrival in arrivals:
-            self._run_ends(arrival.submit_at)
-            self._submit(arrival)
-            self._place(arrival.submit_at)
-        self._run_ends(until)
+            self._process_ends(arrival.submit_at)
+            self._enqueue(arrival)
+            self._place_waiting(arrival.submit_at)
+        self._process_ends(until)
         return self.metrics
 
-    def _submit(self, arrival: replay.Arrival) -> None:
+    def _enqueue(self, arrival: replay.Arrival) -> None:
         count = len(arrival.specification.tasks)
         self.metrics.submitted[arrival.label] += count
         if len(self._queue) + count > MAX_QUEUED_TASKS:
@@ -46,37 +49,51 @@
             return
         self._queue.extend((arrival, number) for number in range(count))
 
-    def _run_ends(self, until: int) -> None:
-        while self._ends and self._ends[0][0] <= until:
-            at, _, place, arrival = heapq.heappop(self._ends)
-            self._free[place] = resource.add(
-                self._free[place], arrival.specification.tasks[0].demand()
+    def _process_ends(self, until: int) -> None:
+        while self._pending_ends and self._pending_ends[0][0] <= until:
+            ended_at, _, target_index, arrival = heapq.heappop(
+                self._pending_ends
+            )
+            self._free_by_target[target_index] = resource.add(
+                self._free_by_target[target_index],
+                arrival.specification.tasks[0].demand(),
             )
             self.metrics.completed[arrival.label] += 1
-            self._place(at)
+            self._place_waiting(ended_at)
 
-    def _place(self, now: int) -> None:
+    def _place_waiting(self, now: int) -> None:
         while self._queue:
             arrival, _ = self._queue[0]
             demand = arrival.specification.tasks[0].demand()
-            place = self._find(demand)
-            if place is None:
+            target_index = self._find_target(demand)
+            if target_index is None:
                 break
             self._queue.popleft()
-            self._free[place] = resource.subtract(self._free[place], demand)
+            self._free_by_target[target_index] = resource.subtract(
+                self._free_by_target[target_index], demand
+            )
             self.metrics.waits[arrival.label].append(now - arrival.submit_at)
-            end = (now + arrival.run_ms, next(self._numbers), place, arrival)
-            heapq.heappush(self._ends, end)
+            end = (
+                now + arrival.run_ms,
+                next(self._sequence),
+                target_index,
+                arrival,
+            )
+            heapq.heappush(self._pending_ends, end)
         if self._queue:
-            free = sum(one.millicores for one in self._free)
-            used = resource.PARTS_PER_MILLION * (self._total - free)
-            self.metrics.utilization_ppm.append(used // self._total)
+            free_millicores = sum(
+                resources.millicores for resources in self._free_by_target
+            )
+            used = resource.PARTS_PER_MILLION * (
+                self._total_millicores - free_millicores
+            )
+            self.metrics.utilization_ppm.append(used // self._total_millicores)
 
-    def _find(self, demand: resource.Resources) -> int | None:
+    def _find_target(self, demand: resource.Resources) -> int | None:
         return next(
             (
-                place
-                for place, free in enumerate(self._free)
+                target_index
+                for target_index, free in enumerate(self._free_by_target)
                 if resource.fits(demand, free)
             ),
             None,
--- a/mulberrywalk/tools/command.py
+++ b/mulberrywalk/tools/command.py
@@ -1,6 +1,7 @@
-"""The operator's and caller's command line.
+"""Command-line client for operators and callers.
 
-Exit codes: 0 done, 1 refused or ended badly, 2 wrong usage, 3 no answer.
+Exit codes: 0 success, 1 request refused or job not completed, 2 usage error,
+3 no entry answered.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 
 EXIT_REFUSED = 1
 EXIT_NO_ANSWER = 3
-_ANSWER_S = 15.0
-_ENTRIES = '127.0.0.1:8080'
+_TIMEOUT_S = 15.0
+_DEFAULT_ENTRIES = '127.0.0.1:8080'
 _MS_PER_S = 1000
-_WIDTH = 132
-_REFUSALS = frozenset(
+_MIN_WIDTH = 132
+_REFUSED_OUTCOMES = frozenset(
     (
         'not_run',
         'unavailable',
@@ -35,14 +36,16 @@
         'invalid_request',
     )
 )
-_BAD_ENDS = frozenset(('failed', 'unknown', 'cancelled'))
+_UNSUCCESSFUL_STATES = frozenset(('failed', 'unknown', 'cancelled'))
 
 application = typer.Typer(
     add_completion=False, no_args_is_help=True, help=__doc__
 )
-configuration = typer.Typer(no_args_is_help=True)
+configuration_commands = typer.Typer(no_args_is_help=True)
 application.add_typer(
-    configuration, name='config', help='Show and patch the configuration.'
+    configuration_commands,
+    name='config',
+    help='Show and patch the configuration.',
 )
 
 EntriesOption = Annotated[
@@ -50,236 +53,255 @@
     typer.Option(
         '--entries',
         envvar='MULBERRYWALK_ENTRIES',
-        help='HOST:PORT of entries, with commas between them.',
+        help='Comma-separated HOST:PORT addresses of entries.',
     ),
 ]
-JsonOption = Annotated[bool, typer.Option('--json', help='JSON for scripts.')]
+JsonOption = Annotated[bool, typer.Option('--json', help='Print JSON.')]
 JobArgument = Annotated[str, typer.Argument(metavar='JOB')]
 
 
 @application.command()
 def submit(
-    path: Annotated[str, typer.Argument(metavar='FILE', help='- for stdin')],
-    entries: EntriesOption = _ENTRIES,
-    wait: Annotated[float, typer.Option(help='Seconds.')] = 0,
+    path: Annotated[
+        str,
+        typer.Argument(
+            metavar='FILE', help='JSON file, or - for standard input.'
+        ),
+    ],
+    entries: EntriesOption = _DEFAULT_ENTRIES,
+    wait: Annotated[
+        float, typer.Option(help='Seconds to wait for the job to end.')
+    ] = 0,
     is_json: JsonOption = False,
 ) -> None:
-    """Submit the job that a JSON file describes.
+    """Submit the job described by a JSON file.
 
-    A request id is made up when the file has none.
+    A random request id is generated if the file has none.
     """
     text = sys.stdin.read() if path == '-' else pathlib.Path(path).read_text()
     body = {'request_id': uuid.uuid4().hex, **json.loads(text)}
-    answered = _ask(entries, 'POST', f'/v1/jobs?wait={wait}', body)
-    _show(answered, is_json=is_json)
+    answer = _request(entries, 'POST', f'/v1/jobs?wait={wait}', body)
+    _print_answer(answer, is_json=is_json)
 
 
 @application.command()
 def status(
     job: JobArgument,
-    entries: EntriesOption = _ENTRIES,
-    wait: Annotated[float, typer.Option(help='Seconds.')] = 0,
+    entries: EntriesOption = _DEFAULT_ENTRIES,
+    wait: Annotated[
+        float, typer.Option(help='Seconds to wait for the job to end.')
+    ] = 0,
     is_json: JsonOption = False,
 ) -> None:
     """Show a job and its tasks."""
-    answered = _ask(entries, 'GET', f'/v1/jobs/{job}?wait={wait}')
-    _show(answered, is_json=is_json, rows=answered.get('tasks'))
+    answer = _request(entries, 'GET', f'/v1/jobs/{job}?wait={wait}')
+    _print_answer(answer, is_json=is_json, rows=answer.get('tasks'))
 
 
 @application.command()
 def explain(
     job: JobArgument,
-    entries: EntriesOption = _ENTRIES,
+    entries: EntriesOption = _DEFAULT_ENTRIES,
     is_json: JsonOption = False,
 ) -> None:
-    """Show why a job waits or where it ran."""
-    answered = _ask(entries, 'GET', f'/v1/jobs/{job}/explanation')
-    _show(answered, is_json=is_json, rows=answered.get('tasks'))
+    """Explain why a job is waiting or where it ran."""
+    answer = _request(entries, 'GET', f'/v1/jobs/{job}/explanation')
+    _print_answer(answer, is_json=is_json, rows=answer.get('tasks'))
 
 
 @application.command()
 def cancel(
     job: JobArgument,
-    entries: EntriesOption = _ENTRIES,
+    entries: EntriesOption = _DEFAULT_ENTRIES,
     is_json: JsonOption = False,
 ) -> None:
     """Cancel a job."""
-    answered = _ask(entries, 'DELETE', f'/v1/jobs/{job}')
-    _show(answered, is_json=is_json)
+    answer = _request(entries, 'DELETE', f'/v1/jobs/{job}')
+    _print_answer(answer, is_json=is_json)
 
 
 @application.command()
 def members(
-    entries: EntriesOption = _ENTRIES, is_json: JsonOption = False
+    entries: EntriesOption = _DEFAULT_ENTRIES, is_json: JsonOption = False
 ) -> None:
     """Show the replicas and the entries."""
-    answered = _ask(entries, 'GET', '/v1/members')
-    rows = [*answered.get('replicas', ()), *answered.get('entries', ())]
-    _show(answered, is_json=is_json, rows=rows)
+    answer = _request(entries, 'GET', '/v1/members')
+    rows = [*answer.get('replicas', ()), *answer.get('entries', ())]
+    _print_answer(answer, is_json=is_json, rows=rows)
 
 
 @application.command()
 def targets(
-    entries: EntriesOption = _ENTRIES, is_json: JsonOption = False
+    entries: EntriesOption = _DEFAULT_ENTRIES, is_json: JsonOption = False
 ) -> None:
     """Show the targets."""
-    answered = _ask(entries, 'GET', '/v1/targets')
-    _show(answered, is_json=is_json, rows=answered.get('targets'))
+    answer = _request(entries, 'GET', '/v1/targets')
+    _print_answer(answer, is_json=is_json, rows=answer.get('targets'))
 
 
 @application.command()
 def drain(
     target: Annotated[str, typer.Argument(metavar='TARGET')],
-    entries: EntriesOption = _ENTRIES,
+    entries: EntriesOption = _DEFAULT_ENTRIES,
     is_json: JsonOption = False,
 ) -> None:
-    """Let a target take no new work; what runs there goes on."""
-    answered = _ask(entries, 'POST', f'/v1/targets/{target}/departure', {})
-    _show(answered, is_json=is_json)
+    """Stop placing tasks on a target; its running tasks continue."""
+    answer = _request(entries, 'POST', f'/v1/targets/{target}/departure', {})
+    _print_answer(answer, is_json=is_json)
 
 
 @application.command()
 def timeline(
-    entries: EntriesOption = _ENTRIES,
+    entries: EntriesOption = _DEFAULT_ENTRIES,
     job: str = '',
     task: str = '',
     target: str = '',
-    since: Annotated[int, typer.Option(help='ms since 1970')] = 0,
-    until: Annotated[int, typer.Option(help='ms since 1970')] = 0,
+    since: Annotated[int, typer.Option(help='Milliseconds since 1970.')] = 0,
+    until: Annotated[int, typer.Option(help='Milliseconds since 1970.')] = 0,
     is_json: JsonOption = False,
 ) -> None:
-    """Show the events of all processes in causal order."""
-    wanted = journal.Filter(job, task, target, since, until)
-    fields = msgspec.to_builtins(wanted)
+    """Show the events of all processes, merged in causal order."""
+    event_filter = journal.Filter(job, task, target, since, until)
+    fields = msgspec.to_builtins(event_filter)
     query = str(httpx.QueryParams(fields))
     collected: list[journal.Line] = []
     for address in entries.split(','):
-        answered = _ask(address, 'GET', f'/v1/timeline?{query}')
-        lines = answered.get('lines', [])
+        answer = _request(address, 'GET', f'/v1/timeline?{query}')
+        lines = answer.get('lines', [])
         collected.extend(msgspec.convert(lines, type=list[journal.Line]))
     merged = journal.merge(collected)
     if is_json:
         typer.echo(msgspec.json.encode(merged).decode())
         return
-    _show_table([_timeline_row(line) for line in merged])
+    _print_table([_timeline_row(line) for line in merged])
 
 
-@configuration.command('show')
+@configuration_commands.command('show')
 def show_configuration(
-    entries: EntriesOption = _ENTRIES,
+    entries: EntriesOption = _DEFAULT_ENTRIES,
     reach: Annotated[
-        bool, typer.Option('--reach', help='The version of each process.')
+        bool, typer.Option('--reach', help='Show the version of each process.')
     ] = False,
     is_json: JsonOption = False,
 ) -> None:
-    """Show the configuration in force."""
-    answered = _ask(entries, 'GET', '/v1/configuration')
-    versions = answered.get('reach', {})
+    """Show the current configuration."""
+    answer = _request(entries, 'GET', '/v1/configuration')
+    versions = answer.get('reach', {})
     if reach and not is_json:
-        _show_table(
+        _print_table(
             [
                 {'process': process, 'version': version}
                 for process, version in sorted(versions.items())
             ]
         )
         return
-    _show(answered, is_json=True)
+    _print_answer(answer, is_json=True)
 
 
-@configuration.command('patch')
+@configuration_commands.command('patch')
 def patch_configuration(
-    path: Annotated[str, typer.Argument(metavar='FILE', help='- for stdin')],
-    version: Annotated[int, typer.Option(help='The version to amend.')],
-    entries: EntriesOption = _ENTRIES,
+    path: Annotated[
+        str,
+        typer.Argument(
+            metavar='FILE', help='JSON file, or - for standard input.'
+        ),
+    ],
+    version: Annotated[
+        int, typer.Option(help='Version that the patch is based on.')
+    ],
+    entries: EntriesOption = _DEFAULT_ENTRIES,
     request_id: Annotated[
-        str, typer.Option(help='Resend under the same id.')
+        str, typer.Option(help='Use the same id to retry a patch.')
     ] = '',
     is_json: JsonOption = False,
 ) -> None:
-    """Apply the JSON merge patch of a file to a version."""
+    """Apply a JSON merge patch from a file to the configuration."""
     text = sys.stdin.read() if path == '-' else pathlib.Path(path).read_text()
     body = {
         'request_id': request_id or uuid.uuid4().hex,
         'version': version,
         'changes': json.loads(text),
     }
-    answered = _ask(entries, 'PATCH', '/v1/configuration', body)
-    _show(answered, is_json=is_json)
+    answer = _request(entries, 'PATCH', '/v1/configuration', body)
+    _print_answer(answer, is_json=is_json)
 
 
-def _ask(
+def _request(
     entries: str, method: str, path: str, body: Any = None
 ) -> dict[str, Any]:
-    """Ask the entries in turn until one answers; leave when none does."""
+    """Send a request to the entries in turn until one answers it.
+
+    Raises typer.Exit if none does.
+    """
     for address in entries.split(','):
         try:
-            answered: dict[str, Any] = httpx.request(
+            answer: dict[str, Any] = httpx.request(
                 method,
                 f'http://{address}{path}',
                 json=body,
-                timeout=httpx.Timeout(_ANSWER_S, read=None),
+                timeout=httpx.Timeout(_TIMEOUT_S, read=None),
             ).json()
         except (httpx.TransportError, ValueError) as error:
-            typer.echo(f'{address}: {error}', err=True)
+            typer.echo(f'{address}: request failed: {error}', err=True)
             continue
-        if answered.get('outcome') not in {'unavailable', 'unknown'}:
-            return answered
-        typer.echo(f'{address}: {answered}', err=True)
+        if answer.get('outcome') not in {'unavailable', 'unknown'}:
+            return answer
+        typer.echo(f'{address}: request not confirmed: {answer}', err=True)
     raise typer.Exit(EXIT_NO_ANSWER)
 
 
-def _show(
-    answered: dict[str, Any],
+def _print_answer(
+    answer: dict[str, Any],
     *,
     is_json: bool,
     rows: list[dict[str, Any]] | None = None,
 ) -> None:
-    """Print an answer and leave with the exit code that it calls for."""
+    """Print an answer; raises typer.Exit if it reports a failure."""
     if is_json:
-        typer.echo(json.dumps(answered))
+        typer.echo(json.dumps(answer))
     else:
-        plain = {
-            name: told
-            for name, told in answered.items()
-            if not isinstance(told, list | dict)
+        scalars = {
+            name: field
+            for name, field in answer.items()
+            if not isinstance(field, list | dict)
         }
-        _show_table([plain])
-        _show_table(rows or [])
-    is_refused = answered.get('outcome') in _REFUSALS
-    if is_refused or answered.get('state') in _BAD_ENDS:
+        _print_table([scalars])
+        _print_table(rows or [])
+    is_refused = answer.get('outcome') in _REFUSED_OUTCOMES
+    if is_refused or answer.get('state') in _UNSUCCESSFUL_STATES:
         raise typer.Exit(EXIT_REFUSED)
 
 
-def _show_table(rows: list[dict[str, Any]]) -> None:
+def _print_table(rows: list[dict[str, Any]]) -> None:
     if not rows:
         return
     columns = list(dict.fromkeys(name for row in rows for name in row))
     table = Table(*columns)
     for row in rows:
-        table.add_row(*_texts(row.get(column, '') for column in columns))
+        table.add_row(*_format_cells(row.get(column, '') for column in columns))
     console = Console()
-    console.width = max(console.width, _WIDTH)
+    console.width = max(console.width, _MIN_WIDTH)
     console.print(table)
 
 
-def _texts(cells: Iterable[Any]) -> list[str]:
-    return [_text(cell) for cell in cells]
+def _format_cells(cells: Iterable[Any]) -> list[str]:
+    return [_format_cell(cell) for cell in cells]
 
 
-def _text(cell: Any) -> str:
+def _format_cell(cell: Any) -> str:
     if isinstance(cell, dict):
-        return '\n'.join(f'{name} {told}' for name, told in cell.items())
+        return '\n'.join(f'{name} {field}' for name, field in cell.items())
     return json.dumps(cell) if isinstance(cell, list) else str(cell)
 
 
 def _timeline_row(line: journal.Line) -> dict[str, Any]:
-    at = clock.wall_of(line.clock)
-    seconds, milliseconds = divmod(at, _MS_PER_S)
-    told = time.strftime('%H:%M:%S', time.gmtime(seconds))
+    wall_ms = clock.wall_of(line.clock)
+    seconds, milliseconds = divmod(wall_ms, _MS_PER_S)
+    time_of_day = time.strftime('%H:%M:%S', time.gmtime(seconds))
     fraction = str(milliseconds).zfill(3)
     row = msgspec.to_builtins(line)
     row.pop('clock')
-    return {'at': f'{told}.{fraction}', **row}
+    return {'at': f'{time_of_day}.{fraction}', **row}
 
 
 def main() -> None:
--- a/mulberrywalk/tools/load.py
+++ b/mulberrywalk/tools/load.py
@@ -1,4 +1,4 @@
-"""Load generation: over the reducer alone, or over running processes."""
+"""Load generator for simulated cells and for running processes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 from ..telemetry import cost
 from . import baseline, mix, replay, report
 
-_ANSWER_S = 60.0
+_ANSWER_TIMEOUT_S = 60.0
 _MS_PER_S = 1000
 _SETTLE_MS = 60_000
-_OK = 200
-_ACCEPTED = 202
+_HTTP_OK = 200
+_HTTP_ACCEPTED = 202
 _WIDTH = 120
-_REPORT = pathlib.Path('run/load')
-_FAMILIES = ('submitted', 'refused', 'completed', 'cancelled', 'retried')
+_DEFAULT_REPORT_FOLDER = pathlib.Path('run/load')
+_COUNTER_COLUMNS = ('submitted', 'refused', 'completed', 'cancelled', 'retried')
 
 application = typer.Typer(
     add_completion=False, no_args_is_help=True, help=__doc__
@@ -34,12 +34,12 @@
 
 MixArgument = Annotated[pathlib.Path, typer.Argument(metavar='MIX')]
 ReportOption = Annotated[
-    pathlib.Path, typer.Option('--report', help='Folder for the report.')
+    pathlib.Path, typer.Option('--report', help='Output folder of the report.')
 ]
 
 FaultsOption = Annotated[
     pathlib.Path | None,
-    typer.Option('--faults', help='JSON file of what goes wrong.'),
+    typer.Option('--faults', help='JSON file with faults to inject.'),
 ]
 
 
@@ -48,23 +48,23 @@
     path: MixArgument,
     seed: int = 1,
     faults: FaultsOption = None,
-    folder: ReportOption = _REPORT,
+    folder: ReportOption = _DEFAULT_REPORT_FOLDER,
 ) -> None:
-    """Replay a mix over the reducer: without and with its flood.
+    """Simulate a mix on the reducer, without and with its flood.
 
-    The same arrivals are given to a first-come first-fit baseline, which
-    knows no faults.
+    The same arrivals also run on the first-fit baseline, which ignores the
+    faults.
     """
-    flooded = _load(path, faults)
-    calm = msgspec.structs.replace(flooded, flood=None)
+    with_flood = _load_mix(path, faults)
+    without_flood = msgspec.structs.replace(with_flood, flood=None)
     runs = [
-        _replay_one('calm', calm, seed),
-        _replay_baseline('first fit, calm', calm, seed),
+        _replay_reducer('calm', without_flood, seed),
+        _replay_baseline('first fit, calm', without_flood, seed),
     ]
-    if flooded.flood is not None:
-        runs.append(_replay_one('flood', flooded, seed))
-        runs.append(_replay_baseline('first fit, flood', flooded, seed))
-    _finish(report.Report(_command(), seed, tuple(runs)), folder)
+    if with_flood.flood is not None:
+        runs.append(_replay_reducer('flood', with_flood, seed))
+        runs.append(_replay_baseline('first fit, flood', with_flood, seed))
+    _publish(report.Report(_command(), seed, tuple(runs)), folder)
 
 
 @application.command('run')
@@ -74,21 +74,22 @@
     seed: int = 1,
     faults: FaultsOption = None,
     is_calm: Annotated[
-        bool, typer.Option('--calm', help='Leave the flood out.')
+        bool, typer.Option('--calm', help='Run without the flood.')
     ] = False,
-    folder: ReportOption = _REPORT,
+    folder: ReportOption = _DEFAULT_REPORT_FOLDER,
 ) -> None:
-    """Submit a mix to running entries, open loop, and time the answers.
+    """Submit a mix to running entries and measure response times.
 
-    Arrivals do not wait for answers; waits count from the intended start.
+    The load is open-loop: arrivals do not wait for earlier answers, and
+    waiting time counts from the scheduled submission.
     """
-    planned = _load(path, faults)
+    workload_mix = _load_mix(path, faults)
     if is_calm:
-        planned = msgspec.structs.replace(planned, flood=None)
+        workload_mix = msgspec.structs.replace(workload_mix, flood=None)
     addresses = tuple(entries.split(','))
     began_at = time.monotonic()
     before = _read_costs(addresses)
-    metrics = anyio.run(_submit_all, planned, addresses, seed)
+    metrics = anyio.run(_submit_all, workload_mix, addresses, seed)
     seconds = time.monotonic() - began_at
     control = report.compare_costs(
         before, _read_costs(addresses), metrics.starts, seconds
@@ -96,14 +97,14 @@
     run = msgspec.structs.replace(
         report.summarize('processes', metrics), control=control
     )
-    _finish(report.Report(_command(), seed, (run,)), folder)
+    _publish(report.Report(_command(), seed, (run,)), folder)
 
 
 def _read_costs(addresses: tuple[str, ...]) -> report.ProcessCosts:
-    """Return what each process has consumed, as the leader was told."""
+    """Return the resource use that each process reported to the leader."""
     url = f'http://{addresses[0]}/v1/members'
-    shown = httpx.get(url, timeout=_ANSWER_S).json()
-    rows = [*shown.get('replicas', ()), *shown.get('entries', ())]
+    members = httpx.get(url, timeout=_ANSWER_TIMEOUT_S).json()
+    rows = [*members.get('replicas', ()), *members.get('entries', ())]
     return {
         row.get('process') or row['identity']: msgspec.convert(
             row['cost'], cost.Cost
@@ -113,48 +114,52 @@
     }
 
 
-def _load(path: pathlib.Path, faults: pathlib.Path | None) -> mix.Mix:
-    planned = mix.load(path)
+def _load_mix(path: pathlib.Path, faults: pathlib.Path | None) -> mix.Mix:
+    workload_mix = mix.load(path)
     if faults is None:
-        return planned
-    return msgspec.structs.replace(planned, faults=mix.load_faults(faults))
+        return workload_mix
+    return msgspec.structs.replace(workload_mix, faults=mix.load_faults(faults))
 
 
-def _replay_one(name: str, planned: mix.Mix, seed: int) -> report.RunReport:
-    running = replay.Replay(planned.fleet_plan())
-    until = planned.duration_ms + _SETTLE_MS
+def _replay_reducer(
+    name: str, workload_mix: mix.Mix, seed: int
+) -> report.RunReport:
+    scheduler = replay.Replay(workload_mix.fleet_plan())
+    until = workload_mix.duration_ms + _SETTLE_MS
     return report.summarize(
-        name, running.run(mix.generate_arrivals(planned, seed), until)
+        name, scheduler.run(mix.generate_arrivals(workload_mix, seed), until)
     )
 
 
 def _replay_baseline(
-    name: str, planned: mix.Mix, seed: int
+    name: str, workload_mix: mix.Mix, seed: int
 ) -> report.RunReport:
-    running = baseline.FirstFit(planned.fleet_plan())
-    until = planned.duration_ms + _SETTLE_MS
+    scheduler = baseline.FirstFit(workload_mix.fleet_plan())
+    until = workload_mix.duration_ms + _SETTLE_MS
     return report.summarize(
-        name, running.run(mix.generate_arrivals(planned, seed), until)
+        name, scheduler.run(mix.generate_arrivals(workload_mix, seed), until)
     )
 
 
 async def _submit_all(
-    planned: mix.Mix, addresses: tuple[str, ...], seed: int
+    workload_mix: mix.Mix, addresses: tuple[str, ...], seed: int
 ) -> replay.RunMetrics:
     metrics = replay.RunMetrics()
-    turns = itertools.cycle(addresses)
-    # No bound: a request that waited for a connection of a flood's would
-    # be counted as waiting for the cell.
+    address_cycle = itertools.cycle(addresses)
+    # Unlimited connections: otherwise the time that a request waits for a
+    # free connection during a flood would count as waiting for the cell.
     limits = httpx.Limits(max_connections=None)
     began_at = time.monotonic()
     async with (
-        httpx.AsyncClient(timeout=_ANSWER_S, limits=limits) as client,
+        httpx.AsyncClient(timeout=_ANSWER_TIMEOUT_S, limits=limits) as client,
         anyio.create_task_group() as group,
     ):
-        for arrival in mix.generate_arrivals(planned, seed):
+        for arrival in mix.generate_arrivals(workload_mix, seed):
             due_at = began_at + arrival.submit_at / _MS_PER_S
             await anyio.sleep(max(0, due_at - time.monotonic()))
-            url = f'http://{next(turns)}/v1/jobs?wait={_ANSWER_S}'
+            url = (
+                f'http://{next(address_cycle)}/v1/jobs?wait={_ANSWER_TIMEOUT_S}'
+            )
             group.start_soon(submit, client, url, arrival, due_at, metrics)
     return metrics
 
@@ -166,30 +171,30 @@
     due_at: float,
     metrics: replay.RunMetrics,
 ) -> None:
-    """Submit a job, wait for its answer and count what it tells.
+    """Submit a job, wait for its end and record the outcome.
 
-    due_at is the intended start on the monotonic clock, in seconds.
+    due_at is the scheduled submission on the monotonic clock, in seconds.
     """
     count = len(arrival.specification.tasks)
     metrics.submitted[arrival.label] += count
     body = msgspec.json.encode(arrival.specification)
     try:
-        answered = await client.post(url, content=body)
+        response = await client.post(url, content=body)
     except httpx.TransportError:
         return
-    if answered.status_code == _ACCEPTED:
-        # Still waiting or running when the answer was due: not refused.
+    if response.status_code == _HTTP_ACCEPTED:
+        # The job was waiting or running when the wait ended: not refused.
         return
-    if answered.status_code != _OK:
+    if response.status_code != _HTTP_OK:
         metrics.refused[arrival.label] += count
         return
-    ended = answered.json()
-    if not ended.get('ended_at'):
+    status = response.json()
+    if not status.get('ended_at'):
         return
-    if ended['state'] == job.JobState.CANCELLED.value:
+    if status['state'] == job.JobState.CANCELLED.value:
         metrics.cancelled[arrival.label] += count
         return
-    attempts = sum(task['attempts'] for task in ended['tasks'])
+    attempts = sum(task['attempts'] for task in status['tasks'])
     metrics.retried[arrival.label] += attempts - count
     answer_ms = round((time.monotonic() - due_at) * _MS_PER_S)
     metrics.waits[arrival.label].append(max(0, answer_ms - arrival.run_ms))
@@ -197,21 +202,27 @@
     metrics.starts += count
 
 
-def _finish(made: report.Report, folder: pathlib.Path) -> None:
-    report.write(made, folder)
+def _publish(load_report: report.Report, folder: pathlib.Path) -> None:
+    report.write(load_report, folder)
     table = Table(
-        'run', 'work', *_FAMILIES, 'wait p50', 'wait p99', 'wait max', 'packed'
+        'run',
+        'work',
+        *_COUNTER_COLUMNS,
+        'wait p50',
+        'wait p99',
+        'wait max',
+        'packed',
     )
-    for run in made.runs:
-        for work in run.works:
-            cells = msgspec.structs.astuple(work)
+    for run in load_report.runs:
+        for workload in run.works:
+            cells = msgspec.structs.astuple(workload)
             texts = [str(cell) for cell in cells]
             table.add_row(run.name, *texts, f'{run.packed_percent} %')
     console = Console(width=_WIDTH)
     console.print(table)
     costs = Table('process', 'ms', 'ms per start', 'MB', 'control bytes/s')
-    for spent in made.runs[0].control:
-        costs.add_row(*map(str, msgspec.structs.astuple(spent)))
+    for process_cost in load_report.runs[0].control:
+        costs.add_row(*map(str, msgspec.structs.astuple(process_cost)))
     if costs.rows:
         console.print(costs)
 
--- a/mulberrywalk/tools/load_test.py
+++ b/mulberrywalk/tools/load_test.py
@@ -1,4 +1,4 @@
-"""What the load tool makes of answers."""
+"""Tests how the load generator counts the responses to a submission."""
 
 import anyio
 import httpx
@@ -8,29 +8,35 @@
 from . import mix, mix_test, replay
 
 
-def ended(attempts):
+def ended_job(attempts):
     tasks = [{'attempts': attempts}]
     return {'state': 'completed', 'ended_at': 1, 'tasks': tasks}
 
 
 @pytest.mark.parametrize(
-    ('status', 'body', 'counted'),
+    ('status', 'body', 'expected'),
     [
-        (200, ended(attempts=2), {'completed': 1, 'retried': 1, 'refused': 0}),
+        (
+            200,
+            ended_job(attempts=2),
+            {'completed': 1, 'retried': 1, 'refused': 0},
+        ),
         (202, {'outcome': 'accepted'}, {'completed': 0, 'refused': 0}),
         (429, {'outcome': 'not_run'}, {'completed': 0, 'refused': 1}),
     ],
 )
-def test_submit_counts_by_answer(status, body, counted):
+def test_submit_counts_by_response(status, body, expected):
     metrics = replay.RunMetrics()
-    arrival = mix.generate_arrivals(mix_test.PLANNED, 1)[0]
+    arrival = mix.generate_arrivals(mix_test.SMALL_MIX, 1)[0]
 
-    async def ask():
+    async def submit_once():
         transport = httpx.MockTransport(
             lambda _: httpx.Response(status, json=body)
         )
         async with httpx.AsyncClient(transport=transport) as client:
             await load_tool.submit(client, 'http://a/', arrival, 0, metrics)
 
-    anyio.run(ask)
-    assert {name: getattr(metrics, name)['sort'] for name in counted} == counted
+    anyio.run(submit_once)
+    assert {
+        name: getattr(metrics, name)['sort'] for name in expected
+    } == expected
--- a/mulberrywalk/tools/mix.py
+++ b/mulberrywalk/tools/mix.py
@@ -1,4 +1,4 @@
-"""Workload mixes: which jobs arrive when, from a seed."""
+"""Workload mixes: generates job arrivals from a description and a seed."""
 
 from __future__ import annotations
 
@@ -17,10 +17,13 @@
 
 
 class Workload(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One kind of work; share is its part of the cell's processors.
+    """Jobs of one kind, with the distribution of their sizes.
 
-    run_ms is the mean of an exponential distribution, at least a tenth of it.
-    declared_factor is by how much the declared run time is off.
+    share is the offered load as a fraction of the cell's processors. run_ms
+    is the mean of exponentially distributed run times, which are cut off
+    below a tenth of it. memory_mb is in mebibytes. millicores and memory_mb
+    list values that are equally likely. declared_factor is the ratio of
+    declared to actual run time.
     """
 
     label: str
@@ -36,7 +39,7 @@
 
 
 class Flood(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Workload that arrives at a multiple of what the cell can hold."""
+    """Overload: a workload that exceeds the cell's capacity for a time."""
 
     work: Workload
     from_ms: int
@@ -44,7 +47,7 @@
 
 
 class CancelWave(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Callers cancel a share of one kind of work, all at the same time."""
+    """Cancellation of a share of a workload's jobs, all at one time."""
 
     label: str
     at_ms: int
@@ -52,10 +55,10 @@
 
 
 class Faults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What goes wrong in a run.
+    """Faults to inject into a run.
 
-    black_holes is how many targets fail everything they start; memory_factor
-    by how much a kind of work uses more memory than it declares.
+    black_holes is the number of targets that fail every attempt they start.
+    memory_factor is the ratio of used to declared memory by workload label.
     """
 
     black_holes: int = 0
@@ -64,7 +67,7 @@
 
 
 class Mix(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A deployment and its work."""
+    """A cell's hardware and its workloads; memory_mb is in mebibytes."""
 
     name: str
     targets: int
@@ -79,7 +82,7 @@
     faults: Faults = Faults()
 
     def fleet_plan(self) -> replay.FleetPlan:
-        """Return the fleet of the deployment."""
+        """Return the number, size and topology of the targets."""
         capacity = resource.Resources(
             self.millicores, self.memory_mb << MIB_SHIFT, 0, self.slots
         )
@@ -94,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ArrivalParameters:
-    """When a job arrives, its number, and its use of declared memory."""
+    """Arrival time in ms, number and memory factor of a generated job."""
 
     submit_at: int
     number: int
@@ -111,84 +114,106 @@
     return msgspec.json.decode(path.read_bytes(), type=Faults)
 
 
-def generate_arrivals(planned: Mix, seed: int) -> list[replay.Arrival]:
-    """Return the jobs of a mix in order of their arrival."""
-    made = [
+def generate_arrivals(workload_mix: Mix, seed: int) -> list[replay.Arrival]:
+    """Return the jobs of a mix, sorted by arrival time.
+
+    The same mix and seed give the same jobs.
+    """
+    generated = [
         arrival
-        for number, work in enumerate(planned.works)
-        for arrival in _arrive(
-            planned,
-            work,
-            random.Random(seed * 1000 + number),  # noqa: S311
-            (0, planned.duration_ms),
+        for index, workload in enumerate(workload_mix.works)
+        for arrival in _generate_workload(
+            workload_mix,
+            workload,
+            random.Random(seed * 1000 + index),  # noqa: S311
+            (0, workload_mix.duration_ms),
         )
     ]
-    if planned.flood is not None:
-        flood = planned.flood
-        dice = random.Random(seed * 1000 - 1)  # noqa: S311
-        window = (flood.from_ms, flood.until_ms)
-        made.extend(_arrive(planned, flood.work, dice, window))
-    for wave in planned.faults.cancel_waves:
-        dice = random.Random(seed * 1000 + wave.at_ms)  # noqa: S311
-        made = [_cancel(arrival, wave, dice) for arrival in made]
-    return sorted(made, key=lambda arrival: arrival.submit_at)
-
-
-def _cancel(
-    arrival: replay.Arrival, wave: CancelWave, dice: random.Random
+    if workload_mix.flood is not None:
+        flood = workload_mix.flood
+        rng = random.Random(seed * 1000 - 1)  # noqa: S311
+        window_ms = (flood.from_ms, flood.until_ms)
+        generated.extend(
+            _generate_workload(workload_mix, flood.work, rng, window_ms)
+        )
+    for wave in workload_mix.faults.cancel_waves:
+        rng = random.Random(seed * 1000 + wave.at_ms)  # noqa: S311
+        generated = [
+            _apply_cancel_wave(arrival, wave, rng) for arrival in generated
+        ]
+    return sorted(generated, key=lambda arrival: arrival.submit_at)
+
+
+def _apply_cancel_wave(
+    arrival: replay.Arrival, wave: CancelWave, rng: random.Random
 ) -> replay.Arrival:
     if arrival.label != wave.label or arrival.submit_at >= wave.at_ms:
         return arrival
-    if dice.random() >= wave.share:
+    if rng.random() >= wave.share:
         return arrival
     return dataclasses.replace(arrival, cancel_at=wave.at_ms)
 
 
-def _arrive(
-    planned: Mix,
-    work: Workload,
-    dice: random.Random,
-    window: tuple[int, int],
+def _generate_workload(
+    workload_mix: Mix,
+    workload: Workload,
+    rng: random.Random,
+    window_ms: tuple[int, int],
 ) -> Iterator[replay.Arrival]:
-    mean_millicores = sum(work.millicores) / len(work.millicores)
-    a_job = mean_millicores * work.run_ms * work.tasks
-    offered = planned.targets * planned.millicores * work.share
-    gap_ms = a_job / offered
-    at = float(window[0])
+    mean_millicores = sum(workload.millicores) / len(workload.millicores)
+    job_millicore_ms = mean_millicores * workload.run_ms * workload.tasks
+    offered_millicores = (
+        workload_mix.targets * workload_mix.millicores * workload.share
+    )
+    mean_interval_ms = job_millicore_ms / offered_millicores
+    at = float(window_ms[0])
     number = 0
     while True:
-        at += dice.expovariate(1 / gap_ms)
-        if at >= window[1]:
+        at += rng.expovariate(1 / mean_interval_ms)
+        if at >= window_ms[1]:
             return
         number += 1
-        factor = planned.faults.memory_factor.get(work.label, 0)
-        yield _make(work, dice, ArrivalParameters(round(at), number, factor))
+        memory_factor = workload_mix.faults.memory_factor.get(workload.label, 0)
+        yield _sample_arrival(
+            workload, rng, ArrivalParameters(round(at), number, memory_factor)
+        )
 
 
-def _make(
-    work: Workload, dice: random.Random, draw: ArrivalParameters
+def _sample_arrival(
+    workload: Workload,
+    rng: random.Random,
+    arrival_parameters: ArrivalParameters,
 ) -> replay.Arrival:
-    drawn_ms = round(dice.expovariate(1 / work.run_ms))
-    run_ms = max(work.run_ms // 10, drawn_ms)
-    millicores = dice.choice(work.millicores)
-    memory_bytes = dice.choice(work.memory_mb) << MIB_SHIFT
-    used_bytes = round(memory_bytes * draw.memory_factor)
-    payload = {'run_ms': run_ms, 'label': f'{work.label}{draw.number}'}
+    sampled_ms = round(rng.expovariate(1 / workload.run_ms))
+    run_ms = max(workload.run_ms // 10, sampled_ms)
+    millicores = rng.choice(workload.millicores)
+    memory_bytes = rng.choice(workload.memory_mb) << MIB_SHIFT
+    used_bytes = round(memory_bytes * arrival_parameters.memory_factor)
+    payload = {
+        'run_ms': run_ms,
+        'label': f'{workload.label}{arrival_parameters.number}',
+    }
     if used_bytes:
         payload['use_bytes'] = used_bytes
-    needs = job.TaskSpecification(
+    task = job.TaskSpecification(
         millicores=millicores,
         memory_bytes=memory_bytes,
-        estimate_ms=max(1, round(run_ms * work.declared_factor)),
+        estimate_ms=max(1, round(run_ms * workload.declared_factor)),
         payload=json.dumps(payload),
     )
     specification = job.Specification(
-        request_id=f'{work.label}-{draw.number}'.replace(' ', '-'),
-        team=work.team,
-        kind=work.kind,
-        tasks=(needs,) * work.tasks,
-        urgency=work.urgency,
+        request_id=f'{workload.label}-{arrival_parameters.number}'.replace(
+            ' ', '-'
+        ),
+        team=workload.team,
+        kind=workload.kind,
+        tasks=(task,) * workload.tasks,
+        urgency=workload.urgency,
     )
     return replay.Arrival(
-        draw.submit_at, work.label, specification, run_ms, used_bytes
+        arrival_parameters.submit_at,
+        workload.label,
+        specification,
+        run_ms,
+        used_bytes,
     )
--- a/mulberrywalk/tools/mix_test.py
+++ b/mulberrywalk/tools/mix_test.py
@@ -1,4 +1,4 @@
-"""Mixes, their faults, and what a replay counts of them."""
+"""Tests of workload mixes, injected faults and the measured results."""
 
 import pathlib
 
@@ -7,7 +7,7 @@
 from ..telemetry import cost
 from . import mix, replay, report
 
-PLANNED = mix.Mix(
+SMALL_MIX = mix.Mix(
     name='tiny',
     targets=4,
     millicores=4000,
@@ -32,27 +32,27 @@
 
 
 def run(faults):
-    planned = msgspec.structs.replace(PLANNED, faults=faults)
-    running = replay.Replay(planned.fleet_plan())
-    return running.run(mix.generate_arrivals(planned, 1), until=60_000)
+    workload_mix = msgspec.structs.replace(SMALL_MIX, faults=faults)
+    simulation = replay.Replay(workload_mix.fleet_plan())
+    return simulation.run(mix.generate_arrivals(workload_mix, 1), until=60_000)
 
 
 def test_arrivals_are_a_function_of_the_seed():
-    assert mix.generate_arrivals(PLANNED, 1) == mix.generate_arrivals(
-        PLANNED, 1
+    assert mix.generate_arrivals(SMALL_MIX, 1) == mix.generate_arrivals(
+        SMALL_MIX, 1
     )
-    assert mix.generate_arrivals(PLANNED, 1) != mix.generate_arrivals(
-        PLANNED, 2
+    assert mix.generate_arrivals(SMALL_MIX, 1) != mix.generate_arrivals(
+        SMALL_MIX, 2
     )
 
 
-def test_black_hole_costs_retries_and_loses_nothing():
+def test_black_hole_target_causes_retries_and_loses_no_task():
     metrics = run(mix.Faults(black_holes=1))
     assert metrics.retried['sort'] > 0
     assert metrics.completed['sort'] == metrics.submitted['sort']
 
 
-def test_cancel_wave_ends_what_waits_or_runs():
+def test_cancel_wave_ends_waiting_and_running_jobs():
     wave = mix.CancelWave('sort', at_ms=2000, share=1)
     metrics = run(mix.Faults(cancel_waves=(wave,)))
     assert metrics.cancelled['sort'] > 0
@@ -60,14 +60,14 @@
     assert ended == metrics.submitted['sort']
 
 
-def test_faults_of_the_repository_can_be_read():
+def test_fault_files_in_mixes_are_valid():
     paths = sorted(pathlib.Path('mixes').glob('faults-*.json'))
     assert len(paths) == 3
     assert all(mix.load_faults(path) != mix.Faults() for path in paths)
 
 
-def test_costs_leave_out_processes_that_began_anew():
+def test_costs_exclude_restarted_processes():
     before = {'a': cost.Cost(100, 0, 10, 10), 'b': cost.Cost(900)}
     after = {'a': cost.Cost(300, 2_000_000, 40, 30), 'b': cost.Cost(5)}
-    spent = report.compare_costs(before, after, starts=100, seconds=10)
-    assert spent == (report.ControlCost('a', 200, 2.0, 2.0, 5.0),)
+    process_costs = report.compare_costs(before, after, starts=100, seconds=10)
+    assert process_costs == (report.ControlCost('a', 200, 2.0, 2.0, 5.0),)
--- a/mulberrywalk/tools/replay.py
+++ b/mulberrywalk/tools/replay.py
@@ -1,7 +1,8 @@
-"""Runs workloads over the reducer alone, for sizes beyond one machine.
+"""Discrete-event simulation that runs workloads through the reducer.
 
-Time is the workload's: an event queue in place of clocks and processes. The
-targets of this module are records, not processes; they obey.
+It measures cells that are too large to run on one machine. Simulated time
+comes from an event queue, without clocks or processes. The targets are
+simulated too and carry out every command.
 """
 
 from __future__ import annotations
@@ -32,9 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """How many targets there are and what each holds.
+    """Number of targets, capacity of each, and their topology.
 
-    The first black_holes of them fail everything they start.
+    rack_size is the number of targets in a rack; racks are assigned to data
+    centres in turn. The first black_holes targets fail every attempt that
+    they start.
     """
 
     targets: int
@@ -46,10 +49,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job and when it is submitted; run_ms is how long its tasks take.
+    """A job with its submission time and the run time of its tasks.
 
-    used_bytes is what each of its tasks uses, zero for what it declares.
-    cancel_at is when its caller cancels it, zero for never.
+    Times are in milliseconds of simulated time. used_bytes is the memory
+    that each task uses, zero if it uses what it declares. cancel_at is when
+    the caller cancels the job, zero for never.
     """
 
     submit_at: int
@@ -94,16 +98,16 @@
 
 
 class Replay:
-    """Feeds arrivals and obedient targets to one state."""
+    """Simulates a cell: one scheduler state and its targets."""
 
     def __init__(self, plan: FleetPlan) -> None:
-        """Open the sessions of all targets."""
+        """Open a session for each target."""
         self.tables = state.State()
         self.metrics = RunMetrics()
         self._now = 1
-        self._timers: list[tuple[int, int, event.Event]] = []
-        self._numbers = itertools.count()
-        self._labels: dict[identity.JobId, Arrival] = {}
+        self._scheduled: list[tuple[int, int, event.Event]] = []
+        self._sequence = itertools.count()
+        self._arrivals_by_job: dict[identity.JobId, Arrival] = {}
         self._black_holes = {f't{number}' for number in range(plan.black_holes)}
         for number in range(plan.targets):
             self._apply(
@@ -111,22 +115,24 @@
             )
 
     def run(self, arrivals: Iterable[Arrival], until: int) -> RunMetrics:
-        """Replay arrivals in order of time; stop at a time in ms."""
-        for at, batch in itertools.groupby(arrivals, key=_batch_of):
-            self._run_timers(at)
+        """Simulate arrivals, sorted by time, until a time in milliseconds."""
+        for at, batch in itertools.groupby(arrivals, key=_batch_start):
+            self._run_scheduled(at)
             self._now = max(self._now, at)
             for arrival in batch:
                 self._submit(arrival)
             self._dispatch()
-        self._run_timers(until)
+        self._run_scheduled(until)
         return self.metrics
 
-    def _run_timers(self, until: int) -> None:
-        while self._timers and self._timers[0][0] <= until:
-            self._now = max(self._now, self._timers[0][0])
-            last = self._now + BATCH_WINDOW_MS
-            while self._timers and self._timers[0][0] <= min(last, until):
-                self._apply(heapq.heappop(self._timers)[2])
+    def _run_scheduled(self, until: int) -> None:
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self._now = max(self._now, self._scheduled[0][0])
+            batch_end = self._now + BATCH_WINDOW_MS
+            while self._scheduled and self._scheduled[0][0] <= min(
+                batch_end, until
+            ):
+                self._apply(heapq.heappop(self._scheduled)[2])
             self._dispatch()
 
     def _submit(self, arrival: Arrival) -> None:
@@ -134,30 +140,34 @@
         self.metrics.submitted[arrival.label] += count
         submitted = event.JobSubmitted(self._now, arrival.specification, '')
         answer = self._apply(submitted)[0]
-        told = answer.outcome if isinstance(answer, effect.Answer) else None
-        if isinstance(told, outcome.Accepted):
-            self._labels[told.job] = arrival
+        submission = (
+            answer.outcome if isinstance(answer, effect.Answer) else None
+        )
+        if isinstance(submission, outcome.Accepted):
+            self._arrivals_by_job[submission.job] = arrival
             if arrival.cancel_at:
-                cancelled = event.JobCancelled(arrival.cancel_at, told.job)
-                self._later(arrival.cancel_at - self._now, cancelled)
+                cancelled = event.JobCancelled(
+                    arrival.cancel_at, submission.job
+                )
+                self._schedule(arrival.cancel_at - self._now, cancelled)
         else:
             self.metrics.refused[arrival.label] += count
 
     def _dispatch(self) -> None:
         self._apply(event.TimePassed(self._now))
         if self.tables.waiting.queues:
-            used = self.tables.fleet.total.millicores - sum(
+            used_millicores = self.tables.fleet.total.millicores - sum(
                 load.free.millicores
                 for load in self.tables.fleet.loads.values()
             )
-            whole = self.tables.fleet.total.millicores or 1
+            total_millicores = self.tables.fleet.total.millicores or 1
             self.metrics.utilization_ppm.append(
-                used * resource.PARTS_PER_MILLION // whole
+                used_millicores * resource.PARTS_PER_MILLION // total_millicores
             )
 
-    def _start(self, attempt: job.Attempt) -> None:
+    def _handle_start(self, attempt: job.Attempt) -> None:
         task = self.tables.tasks[attempt.task]
-        arrival = self._labels[task.job]
+        arrival = self._arrivals_by_job[task.job]
         if task.attempts == 1:
             waited = self._now - arrival.submit_at
             self.metrics.waits[arrival.label].append(waited)
@@ -165,25 +175,27 @@
             self.metrics.retried[arrival.label] += 1
         self.metrics.starts += 1
         if attempt.target in self._black_holes:
-            self._end_later(attempt, TARGET_RESPONSE_MS, job.EndReason.FAILED)
+            self._schedule_end(
+                attempt, TARGET_RESPONSE_MS, job.EndReason.FAILED
+            )
             return
         started = event.AttemptStart(attempt.attempt, self._now)
-        self._report_later(attempt, TARGET_RESPONSE_MS, started=(started,))
+        self._schedule_report(attempt, TARGET_RESPONSE_MS, started=(started,))
         if arrival.used_bytes and arrival.run_ms > USAGE_REPORT_DELAY_MS:
             used = event.AttemptUsage(
                 attempt.attempt, attempt.held.millicores, arrival.used_bytes
             )
-            self._report_later(attempt, USAGE_REPORT_DELAY_MS, usage=(used,))
-        self._end_later(attempt, arrival.run_ms, job.EndReason.COMPLETED)
+            self._schedule_report(attempt, USAGE_REPORT_DELAY_MS, usage=(used,))
+        self._schedule_end(attempt, arrival.run_ms, job.EndReason.COMPLETED)
 
-    def _end_later(
+    def _schedule_end(
         self, attempt: job.Attempt, delay_ms: int, reason: job.EndReason
     ) -> None:
         at = self._now + delay_ms
         ended = event.AttemptEnd(attempt.attempt, reason, at)
-        self._report_later(attempt, delay_ms, ended=(ended,))
+        self._schedule_report(attempt, delay_ms, ended=(ended,))
 
-    def _report_later(
+    def _schedule_report(
         self,
         attempt: job.Attempt,
         delay_ms: int,
@@ -193,33 +205,33 @@
         usage: tuple[event.AttemptUsage, ...] = (),
     ) -> None:
         at = self._now + delay_ms
-        self._later(
+        self._schedule(
             delay_ms,
             event.ReportReceived(at, attempt.session, started, ended, usage),
         )
 
-    def _later(self, delay_ms: int, occurred: event.Event) -> None:
-        entry = (self._now + delay_ms, next(self._numbers), occurred)
-        heapq.heappush(self._timers, entry)
+    def _schedule(self, delay_ms: int, new_event: event.Event) -> None:
+        entry = (self._now + delay_ms, next(self._sequence), new_event)
+        heapq.heappush(self._scheduled, entry)
 
-    def _apply(self, occurred: event.Event) -> list[effect.Effect]:
+    def _apply(self, new_event: event.Event) -> list[effect.Effect]:
         began_at = time.perf_counter_ns()
-        _, effects = reducer.reduce(self.tables, occurred)
+        _, effects = reducer.reduce(self.tables, new_event)
         self.metrics.reducer_ns.append(time.perf_counter_ns() - began_at)
-        for effected in effects:
-            if isinstance(effected, effect.ReportJobEnd):
-                self._count_end(effected.job)
-            elif isinstance(effected, effect.StartAttempt):
-                self._start(effected.attempt)
-            elif isinstance(effected, effect.StopAttempt):
-                self._end_later(
-                    effected.attempt, TARGET_RESPONSE_MS, job.EndReason.STOPPED
+        for emitted in effects:
+            if isinstance(emitted, effect.ReportJobEnd):
+                self._count_end(emitted.job)
+            elif isinstance(emitted, effect.StartAttempt):
+                self._handle_start(emitted.attempt)
+            elif isinstance(emitted, effect.StopAttempt):
+                self._schedule_end(
+                    emitted.attempt, TARGET_RESPONSE_MS, job.EndReason.STOPPED
                 )
         return effects
 
-    def _count_end(self, name: identity.JobId) -> None:
-        record = self.tables.jobs[name]
-        arrival = self._labels.get(name)
+    def _count_end(self, job_id: identity.JobId) -> None:
+        record = self.tables.jobs[job_id]
+        arrival = self._arrivals_by_job.get(job_id)
         if arrival is None:
             return
         count = len(record.specification.tasks)
@@ -229,17 +241,17 @@
             self.metrics.cancelled[arrival.label] += count
 
 
-def _batch_of(arrival: Arrival) -> int:
+def _batch_start(arrival: Arrival) -> int:
     return arrival.submit_at // BATCH_WINDOW_MS * BATCH_WINDOW_MS
 
 
 def make_announcement(plan: FleetPlan, number: int) -> event.Announcement:
     """Return the announcement of one target of a fleet."""
     rack = number // plan.rack_size
-    centre = rack % plan.data_centres
+    data_centre_number = rack % plan.data_centres
     return event.Announcement(
         target=identity.TargetId(f't{number}'),
-        data_centre=identity.DataCentre(f'dc{centre}'),
+        data_centre=identity.DataCentre(f'dc{data_centre_number}'),
         rack=identity.Rack(f'rack{rack}'),
         capacity=plan.capacity,
         nonce=f'n{number}',
--- a/mulberrywalk/tools/report.py
+++ b/mulberrywalk/tools/report.py
@@ -1,4 +1,8 @@
-"""Reports of load: the four measures as JSON and as one HTML page."""
+"""Load reports, written as JSON and as an HTML page.
+
+The four measures are waiting time, completed work, utilization and the cost
+of control.
+"""
 
 from __future__ import annotations
 
@@ -14,12 +18,12 @@
 
 ProcessCosts = dict[str, cost.Cost]
 
-_LONGEST_MS = 86_400_000
-_DIGITS = 3
+_MAX_WAIT_MS = 86_400_000
+_PRECISION_DIGITS = 3
 _PERCENT = 100
 _PPM_PER_PERCENT = 10_000
-_MEDIAN = 50
-_TAIL = 99
+_MEDIAN_PERCENTILE = 50
+_TAIL_PERCENTILE = 99
 _BYTES_PER_MB = 1_000_000
 
 
@@ -38,7 +42,10 @@
 
 
 class ControlCost(msgspec.Struct, frozen=True):
-    """What one process of the system has spent on control during a run."""
+    """Resources that one process of the system used during a run.
+
+    bytes_per_s counts control messages, sent and received.
+    """
 
     process: str
     processor_ms: int
@@ -48,7 +55,10 @@
 
 
 class RunReport(msgspec.Struct, frozen=True):
-    """One run; packed_percent is the used part while work waited."""
+    """Results of one run.
+
+    packed_percent is the mean processor utilization while tasks waited.
+    """
 
     name: str
     works: tuple[WorkloadReport, ...]
@@ -58,7 +68,7 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Runs that are compared, and the command that made them."""
+    """Runs to compare, with the command and the seed that produced them."""
 
     command: str
     seed: int
@@ -71,22 +81,22 @@
         summarize_workload(label, metrics)
         for label in sorted(metrics.submitted)
     )
-    packed = (
+    utilization_percent = (
         statistics.fmean(metrics.utilization_ppm) / _PPM_PER_PERCENT
         if metrics.utilization_ppm
         else 0
     )
-    return RunReport(name, works, round(packed, 1), metrics.starts)
+    return RunReport(name, works, round(utilization_percent, 1), metrics.starts)
 
 
 def summarize_workload(
     label: str, metrics: replay.RunMetrics
 ) -> WorkloadReport:
     """Return the results of one workload."""
-    counted = histogram.HdrHistogram(1, _LONGEST_MS, _DIGITS)
+    wait_histogram = histogram.HdrHistogram(1, _MAX_WAIT_MS, _PRECISION_DIGITS)
     for wait in metrics.waits[label]:
-        # The histogram starts at one: a wait of nothing counts as that.
-        counted.record_value(max(1, wait))
+        # The lowest value of the histogram is 1 ms, so 0 ms counts as 1 ms.
+        wait_histogram.record_value(max(1, wait))
     return WorkloadReport(
         label,
         metrics.submitted[label],
@@ -94,28 +104,28 @@
         metrics.completed[label],
         metrics.cancelled[label],
         metrics.retried[label],
-        counted.get_value_at_percentile(_MEDIAN),
-        counted.get_value_at_percentile(_TAIL),
-        counted.get_max_value(),
+        wait_histogram.get_value_at_percentile(_MEDIAN_PERCENTILE),
+        wait_histogram.get_value_at_percentile(_TAIL_PERCENTILE),
+        wait_histogram.get_max_value(),
     )
 
 
 def compare_costs(
     before: ProcessCosts, after: ProcessCosts, starts: int, seconds: float
 ) -> tuple[ControlCost, ...]:
-    """Return what each process has spent between two readings.
+    """Return the resources that each process used between two readings.
 
-    Processes that are missing from either, or that have begun anew in
-    between, are left out.
+    seconds is the time between them. Processes that are missing from either
+    reading, or that restarted in between, are left out.
     """
     return tuple(
-        _compare(name, before[name], after[name], starts, seconds)
+        _process_cost(name, before[name], after[name], starts, seconds)
         for name in sorted(before.keys() & after.keys())
         if after[name].processor_ms >= before[name].processor_ms
     )
 
 
-def _compare(
+def _process_cost(
     name: str, before: cost.Cost, after: cost.Cost, starts: int, seconds: float
 ) -> ControlCost:
     spent_ms = after.processor_ms - before.processor_ms
@@ -124,14 +134,14 @@
     return ControlCost(
         name,
         spent_ms,
-        round(spent_ms / max(1, starts), _DIGITS),
+        round(spent_ms / max(1, starts), _PRECISION_DIGITS),
         round(after.memory_bytes / _BYTES_PER_MB, 1),
         round((sent + received) / seconds, 1),
     )
 
 
 def write(report: Report, folder: pathlib.Path) -> None:
-    """Write report.json and report.html into a folder."""
+    """Write report.json and report.html; creates the folder if needed."""
     folder.mkdir(parents=True, exist_ok=True)
     encoded = msgspec.json.format(msgspec.json.encode(report))
     (folder / 'report.json').write_bytes(encoded)
@@ -150,25 +160,25 @@
 
 
 def plot_waits(report: Report) -> graph_objects.Figure:
-    """Return the waiting time at p99 by kind of work and run."""
+    """Plot the waiting time at p99 by workload and run."""
     figure = graph_objects.Figure()
     for run in report.runs:
-        labels = [work.label for work in run.works]
-        waits = [work.wait_p99 for work in run.works]
+        labels = [workload.label for workload in run.works]
+        waits = [workload.wait_p99 for workload in run.works]
         figure.add_bar(name=run.name, x=labels, y=waits)
     figure.update_yaxes(type='log', title='waiting time at p99, ms')
     return figure
 
 
 def plot_completion(report: Report) -> graph_objects.Figure:
-    """Return the completed part of what was submitted, by kind and run."""
+    """Plot the completed percentage of submitted tasks by workload and run."""
     figure = graph_objects.Figure()
     for run in report.runs:
-        labels = [work.label for work in run.works]
-        kept = [
-            _PERCENT * work.completed / max(1, work.submitted)
-            for work in run.works
+        labels = [workload.label for workload in run.works]
+        completed_percent = [
+            _PERCENT * workload.completed / max(1, workload.submitted)
+            for workload in run.works
         ]
-        figure.add_bar(name=run.name, x=labels, y=kept)
+        figure.add_bar(name=run.name, x=labels, y=completed_percent)
     figure.update_yaxes(title='completed, % of submitted')
     return figure
