--- a/mulberrywalk/tools/command.py
+++ b/mulberrywalk/tools/command.py
@@ -1,7 +1,7 @@
 """Command-line client for operators and callers.
 
-Exit codes: 0 success, 1 request refused or job not completed, 2 usage error,
-3 no entry answered.
+Exit codes: 0 success, 1 request refused or job ended without success,
+2 usage error, 3 no entry answered.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 _TIMEOUT_S = 15.0
 _DEFAULT_ENTRIES = '127.0.0.1:8080'
 _MS_PER_S = 1000
-_MIN_WIDTH = 132
+_MIN_TABLE_WIDTH = 132
 _REFUSED_OUTCOMES = frozenset(
     (
         'not_run',
@@ -280,7 +280,7 @@
     for row in rows:
         table.add_row(*_format_cells(row.get(column, '') for column in columns))
     console = Console()
-    console.width = max(console.width, _MIN_WIDTH)
+    console.width = max(console.width, _MIN_TABLE_WIDTH)
     console.print(table)
 
 
--- a/mulberrywalk/tools/load.py
+++ b/mulberrywalk/tools/load.py
@@ -24,7 +24,7 @@
 _SETTLE_MS = 60_000
 _HTTP_OK = 200
 _HTTP_ACCEPTED = 202
-_WIDTH = 120
+_TABLE_WIDTH = 120
 _DEFAULT_REPORT_FOLDER = pathlib.Path('run/load')
 _COUNTER_COLUMNS = ('submitted', 'refused', 'completed', 'cancelled', 'retried')
 
@@ -171,7 +171,7 @@
     due_at: float,
     metrics: replay.RunMetrics,
 ) -> None:
-    """Submit a job, wait for its end and record the outcome.
+    """Submit a job, wait for the response and record the outcome.
 
     due_at is the scheduled submission on the monotonic clock, in seconds.
     """
@@ -183,7 +183,7 @@
     except httpx.TransportError:
         return
     if response.status_code == _HTTP_ACCEPTED:
-        # The job was waiting or running when the wait ended: not refused.
+        # The job was still waiting or running at the timeout: not refused.
         return
     if response.status_code != _HTTP_OK:
         metrics.refused[arrival.label] += count
@@ -218,7 +218,7 @@
             cells = msgspec.structs.astuple(workload)
             texts = [str(cell) for cell in cells]
             table.add_row(run.name, *texts, f'{run.packed_percent} %')
-    console = Console(width=_WIDTH)
+    console = Console(width=_TABLE_WIDTH)
     console.print(table)
     costs = Table('process', 'ms', 'ms per start', 'MB', 'control bytes/s')
     for process_cost in load_report.runs[0].control:
--- a/mulberrywalk/tools/mix.py
+++ b/mulberrywalk/tools/mix.py
@@ -19,11 +19,10 @@
 class Workload(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """Jobs of one kind, with the distribution of their sizes.
 
-    share is the offered load as a fraction of the cell's processors. run_ms
-    is the mean of exponentially distributed run times, which are cut off
-    below a tenth of it. memory_mb is in mebibytes. millicores and memory_mb
-    list values that are equally likely. declared_factor is the ratio of
-    declared to actual run time.
+    share is the offered load as a fraction of the cell's processors. Run
+    times are exponentially distributed with the mean run_ms, and at least a
+    tenth of it. millicores and memory_mb (in mebibytes) list equally likely
+    values. declared_factor is the ratio of declared to actual run time.
     """
 
     label: str
@@ -39,7 +38,7 @@
 
 
 class Flood(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Overload: a workload that exceeds the cell's capacity for a time."""
+    """A workload that overloads the cell between two times of the run."""
 
     work: Workload
     from_ms: int
@@ -58,7 +57,8 @@
     """Faults to inject into a run.
 
     black_holes is the number of targets that fail every attempt they start.
-    memory_factor is the ratio of used to declared memory by workload label.
+    memory_factor is the ratio of used to declared memory by workload label;
+    workloads without one use what they declare.
     """
 
     black_holes: int = 0
@@ -166,16 +166,18 @@
         workload_mix.targets * workload_mix.millicores * workload.share
     )
     mean_interval_ms = job_millicore_ms / offered_millicores
-    at = float(window_ms[0])
+    arrival_ms = float(window_ms[0])
     number = 0
     while True:
-        at += rng.expovariate(1 / mean_interval_ms)
-        if at >= window_ms[1]:
+        arrival_ms += rng.expovariate(1 / mean_interval_ms)
+        if arrival_ms >= window_ms[1]:
             return
         number += 1
-        memory_factor = workload_mix.faults.memory_factor.get(workload.label, 0)
+        usage_factor = workload_mix.faults.memory_factor.get(workload.label, 0)
         yield _sample_arrival(
-            workload, rng, ArrivalParameters(round(at), number, memory_factor)
+            workload,
+            rng,
+            ArrivalParameters(round(arrival_ms), number, usage_factor),
         )
 
 
--- a/mulberrywalk/tools/mix_test.py
+++ b/mulberrywalk/tools/mix_test.py
@@ -31,7 +31,7 @@
 )
 
 
-def run(faults):
+def simulate(faults):
     workload_mix = msgspec.structs.replace(SMALL_MIX, faults=faults)
     simulation = replay.Replay(workload_mix.fleet_plan())
     return simulation.run(mix.generate_arrivals(workload_mix, 1), until=60_000)
@@ -47,14 +47,14 @@
 
 
 def test_black_hole_target_causes_retries_and_loses_no_task():
-    metrics = run(mix.Faults(black_holes=1))
+    metrics = simulate(mix.Faults(black_holes=1))
     assert metrics.retried['sort'] > 0
     assert metrics.completed['sort'] == metrics.submitted['sort']
 
 
 def test_cancel_wave_ends_waiting_and_running_jobs():
     wave = mix.CancelWave('sort', at_ms=2000, share=1)
-    metrics = run(mix.Faults(cancel_waves=(wave,)))
+    metrics = simulate(mix.Faults(cancel_waves=(wave,)))
     assert metrics.cancelled['sort'] > 0
     ended = metrics.completed['sort'] + metrics.cancelled['sort']
     assert ended == metrics.submitted['sort']
--- a/mulberrywalk/tools/replay.py
+++ b/mulberrywalk/tools/replay.py
@@ -2,7 +2,7 @@
 
 It measures cells that are too large to run on one machine. Simulated time
 comes from an event queue, without clocks or processes. The targets are
-simulated too and carry out every command.
+simulated too and respond to every command.
 """
 
 from __future__ import annotations
@@ -26,7 +26,9 @@
 )
 
 NS_PER_MS = 1_000_000
+# All events within this window precede one placement pass.
 BATCH_WINDOW_MS = 5
+# Delay until a target reports that an attempt started, failed or stopped.
 TARGET_RESPONSE_MS = 2
 USAGE_REPORT_DELAY_MS = 1000
 
@@ -105,7 +107,7 @@
         self.tables = state.State()
         self.metrics = RunMetrics()
         self._now = 1
-        self._scheduled: list[tuple[int, int, event.Event]] = []
+        self._event_queue: list[tuple[int, int, event.Event]] = []
         self._sequence = itertools.count()
         self._arrivals_by_job: dict[identity.JobId, Arrival] = {}
         self._black_holes = {f't{number}' for number in range(plan.black_holes)}
@@ -116,23 +118,23 @@
 
     def run(self, arrivals: Iterable[Arrival], until: int) -> RunMetrics:
         """Simulate arrivals, sorted by time, until a time in milliseconds."""
-        for at, batch in itertools.groupby(arrivals, key=_batch_start):
-            self._run_scheduled(at)
-            self._now = max(self._now, at)
+        for batch_start, batch in itertools.groupby(arrivals, key=_batch_start):
+            self._run_events(batch_start)
+            self._now = max(self._now, batch_start)
             for arrival in batch:
                 self._submit(arrival)
             self._dispatch()
-        self._run_scheduled(until)
+        self._run_events(until)
         return self.metrics
 
-    def _run_scheduled(self, until: int) -> None:
-        while self._scheduled and self._scheduled[0][0] <= until:
-            self._now = max(self._now, self._scheduled[0][0])
+    def _run_events(self, until: int) -> None:
+        while self._event_queue and self._event_queue[0][0] <= until:
+            self._now = max(self._now, self._event_queue[0][0])
             batch_end = self._now + BATCH_WINDOW_MS
-            while self._scheduled and self._scheduled[0][0] <= min(
+            while self._event_queue and self._event_queue[0][0] <= min(
                 batch_end, until
             ):
-                self._apply(heapq.heappop(self._scheduled)[2])
+                self._apply(heapq.heappop(self._event_queue)[2])
             self._dispatch()
 
     def _submit(self, arrival: Arrival) -> None:
@@ -191,8 +193,8 @@
     def _schedule_end(
         self, attempt: job.Attempt, delay_ms: int, reason: job.EndReason
     ) -> None:
-        at = self._now + delay_ms
-        ended = event.AttemptEnd(attempt.attempt, reason, at)
+        due_at = self._now + delay_ms
+        ended = event.AttemptEnd(attempt.attempt, reason, due_at)
         self._schedule_report(attempt, delay_ms, ended=(ended,))
 
     def _schedule_report(
@@ -204,15 +206,17 @@
         ended: tuple[event.AttemptEnd, ...] = (),
         usage: tuple[event.AttemptUsage, ...] = (),
     ) -> None:
-        at = self._now + delay_ms
+        due_at = self._now + delay_ms
         self._schedule(
             delay_ms,
-            event.ReportReceived(at, attempt.session, started, ended, usage),
+            event.ReportReceived(
+                due_at, attempt.session, started, ended, usage
+            ),
         )
 
     def _schedule(self, delay_ms: int, new_event: event.Event) -> None:
         entry = (self._now + delay_ms, next(self._sequence), new_event)
-        heapq.heappush(self._scheduled, entry)
+        heapq.heappush(self._event_queue, entry)
 
     def _apply(self, new_event: event.Event) -> list[effect.Effect]:
         began_at = time.perf_counter_ns()
--- a/mulberrywalk/tools/report.py
+++ b/mulberrywalk/tools/report.py
@@ -44,7 +44,8 @@
 class ControlCost(msgspec.Struct, frozen=True):
     """Resources that one process of the system used during a run.
 
-    bytes_per_s counts control messages, sent and received.
+    memory_mb is the peak since the process started. bytes_per_s counts
+    control messages, sent and received.
     """
 
     process: str
