--- a/mulberrywalk/platform/front.py
+++ b/mulberrywalk/platform/caller_api.py
@@ -38,9 +38,9 @@
 )
 _REFUSALS = MappingProxyType(
     {
-        'queue_full': http.TOO_MANY,
-        'overloaded': http.UNAVAILABLE,
-        'not_ready': http.UNAVAILABLE,
+        'queue_full': http.TOO_MANY_REQUESTS,
+        'overloaded': http.SERVICE_UNAVAILABLE,
+        'not_ready': http.SERVICE_UNAVAILABLE,
         'unknown_queue': http.NOT_FOUND,
         'request_reused': http.CONFLICT,
         'not_found': http.GONE,
@@ -48,7 +48,7 @@
 )
 
 
-class Front:
+class CallerApi:
     """Answers callers by calls to the leader."""
 
     def __init__(self, parts: program.Components) -> None:
@@ -66,9 +66,13 @@
         """Answer one request."""
         with self._duty:
             try:
-                request = await http.read(scope, receive, self._body_limit())
+                request = await http.read_request(
+                    scope, receive, self._body_limit()
+                )
             except http.BodyTooLargeError:
-                await http.write(send, http.Response(http.TOO_LARGE))
+                await http.write_response(
+                    send, http.Response(http.CONTENT_TOO_LARGE)
+                )
                 return
             except ConnectionError:
                 return
@@ -81,7 +85,7 @@
                 self._metrics.incr(f'answers_{kind}_{response.status}')
             if self._duty.is_draining:
                 response.headers['connection'] = 'close'
-            await http.write(send, response)
+            await http.write_response(send, response)
 
     async def _answer(self, request: http.Request) -> http.Response:
         if request.path == _READY_PATH:
@@ -140,7 +144,7 @@
         except wire.WireError as error:
             return http.Response(http.BAD_REQUEST, {'error': str(error)})
         submission = messages.Submit(
-            specification, wire.digest_of(request.body)
+            specification, wire.submission_digest(request.body)
         )
         reply = await self._leader.propose(submission, seconds)
         return self._respond('submit', name, reply)
@@ -180,7 +184,7 @@
             return http.Response(http.GATEWAY_TIMEOUT, {'error': reason})
         if reason:
             status = _REFUSALS.get(reason, http.BAD_REQUEST)
-            if status in {http.TOO_MANY, http.UNAVAILABLE}:
+            if status in {http.TOO_MANY_REQUESTS, http.SERVICE_UNAVAILABLE}:
                 return _refuse(status, reply.get('detail', ''))
             return http.Response(status, {'error': reply.get('detail', '')})
         return http.Response(http.OK)
@@ -227,7 +231,7 @@
 
 
 def _unavailable(reason: str) -> http.Response:
-    return _refuse(http.UNAVAILABLE, reason)
+    return _refuse(http.SERVICE_UNAVAILABLE, reason)
 
 
 def _refuse(status: int, reason: str) -> http.Response:
--- a/mulberrywalk/platform/front_test.py
+++ b/mulberrywalk/platform/caller_api_test.py
@@ -9,7 +9,7 @@
 from ..entry import http_api, upstream
 from ..telemetry import cost, journal, metric
 from ..transport import codec
-from . import front
+from . import caller_api
 
 NAME = '0123456789abcdef'
 BODY = json.dumps({'phases': [{'count': 1, 'cpu': 1}]}).encode()
@@ -70,7 +70,7 @@
 
     host = (b'host', b'H:80')
     scope = {'method': method, 'path': path, 'headers': [host, *headers]}
-    anyio.run(front.Front(parts).serve, scope, receive, send)
+    anyio.run(caller_api.CallerApi(parts).serve, scope, receive, send)
     headers = {
         name.decode(): text.decode() for name, text in sent[0]['headers']
     }
--- a/mulberrywalk/platform/control.py
+++ b/mulberrywalk/platform/control_api.py
@@ -12,14 +12,14 @@
 
 from ..core import event, identity, outcome
 from ..replica import program
-from . import bound, http, wire
+from . import http, validation, wire
 
 _ANSWER_S = 0.9
 _BODY_BYTES = 16_777_216
 _INSTANCES = '/instances/'
 
 
-class Control:
+class ControlApi:
     """Answers workers and operators for the cell."""
 
     def __init__(
@@ -37,16 +37,18 @@
     ) -> None:
         """Answer one request."""
         try:
-            request = await http.read(scope, receive, _BODY_BYTES)
+            request = await http.read_request(scope, receive, _BODY_BYTES)
         except http.BodyTooLargeError:
-            await http.write(send, http.Response(http.TOO_LARGE))
+            await http.write_response(
+                send, http.Response(http.CONTENT_TOO_LARGE)
+            )
             return
         except ConnectionError:
             return
-        response = http.Response(http.UNAVAILABLE)
+        response = http.Response(http.SERVICE_UNAVAILABLE)
         with anyio.move_on_after(_ANSWER_S):
             response = await self._answer(request)
-        await http.write(send, response)
+        await http.write_response(send, response)
 
     async def _answer(self, request: http.Request) -> http.Response:
         if not self._engine.is_serving():
@@ -64,12 +66,14 @@
         leader = running.leader
         member = running.membership.find(leader) if leader else None
         if member is None or leader == running.identity:
-            return http.Response(http.UNAVAILABLE)
+            return http.Response(http.SERVICE_UNAVAILABLE)
         host = member.address.rpartition(':')[0]
         port = self._address.rpartition(':')[2]
         path = urls.quote(request.path)
         location = f'http://{host}:{port}{path}'
-        return http.Response(http.REDIRECT, headers={'location': location})
+        return http.Response(
+            http.TEMPORARY_REDIRECT, headers={'location': location}
+        )
 
     async def _answer_worker(self, request: http.Request) -> http.Response:
         name, _, call = request.path[len(_INSTANCES) :].partition('/')
@@ -81,7 +85,7 @@
         try:
             sighting = wire.read_heartbeat(name, request.body, self._lease_ms)
         except wire.WireError as error:
-            shown = name[: bound.MOST_TEXT]
+            shown = name[: validation.MAX_TEXT_LENGTH]
             self._lines.warn('heartbeat refused', f'of {shown}: {error}')
             return http.Response(http.BAD_REQUEST, {'error': str(error)})
         if self._leader.registry.has_unknown_pool(sighting):
@@ -108,13 +112,13 @@
     def _read(self) -> http.Response:
         current = self._engine.tables.configuration
         if not current.routing.source:
-            return http.Response(http.UNAVAILABLE)
+            return http.Response(http.SERVICE_UNAVAILABLE)
         return http.Response(http.OK, current.routing.source.encode())
 
 
 def _respond(told: outcome.Outcome | None) -> http.Response:
     if told is None:
-        return http.Response(http.UNAVAILABLE)
+        return http.Response(http.SERVICE_UNAVAILABLE)
     if isinstance(told, outcome.NotRun):
         return http.Response(http.BAD_REQUEST, {'error': told.detail})
     return http.Response(http.OK)
--- a/mulberrywalk/platform/control_test.py
+++ b/mulberrywalk/platform/control_api_test.py
@@ -10,7 +10,7 @@
 from ..core import cell_test
 from ..replica import registry
 from ..telemetry import journal
-from . import control
+from . import control_api
 
 MEMBER = message.Member(
     message.ReplicaId('b'), '10.0.0.2:7000', 'd', voter=True
@@ -51,7 +51,7 @@
         sent.append(message)
 
     scope = {'method': 'POST', 'path': path, 'headers': []}
-    answering = control.Control(parts, '10.0.0.1:8080', 8000)
+    answering = control_api.ControlApi(parts, '10.0.0.1:8080', 8000)
     anyio.run(answering.serve, scope, receive, send)
     return sent[0]['status'], sent[0]['headers']
 
--- a/mulberrywalk/platform/entry.py
+++ b/mulberrywalk/platform/entry.py
@@ -11,7 +11,7 @@
 
 from ..entry import adviser, polled, program
 from ..telemetry import journal
-from . import front, http, setting, worker
+from . import caller_api, http, setting, worker_client
 
 _MS_PER_S = 1000
 _WATCH_S = 1.0
@@ -22,7 +22,7 @@
 _LOG = 'MULBERRYWALK_LOG_FORMAT'
 
 
-class Platform(program.Extension):
+class PlatformExtension(program.Extension):
     """Callers, targets and the adviser of the platform."""
 
     def __init__(self, path: pathlib.Path, settings: setting.Settings) -> None:
@@ -36,7 +36,7 @@
     ) -> tuple[program.Application, tuple[str, ...]]:
         """Serve callers beside the entry's own interface."""
         self._parts = parts
-        answering = front.Front(parts)
+        answering = caller_api.CallerApi(parts)
         own_port = int(parts.settings.listen.rpartition(':')[2])
 
         async def show_metrics(
@@ -50,7 +50,7 @@
             scope: dict[str, Any], receive: http.Receive, send: http.Send
         ) -> None:
             if scope['type'] == 'lifespan':
-                await http.accept_lifespan(receive, send)
+                await http.handle_lifespan(receive, send)
                 return
             port = scope['server'][1]
             chosen = by_port.get(port, answering.serve)
@@ -70,15 +70,15 @@
         parts = self._parts
         if parts is None:
             raise AssertionError('the extension was not composed')
-        clients = worker.Clients()
+        clients = worker_client.ClientPool()
         calling = polled.PolledTargets(
-            worker.Worker(clients, parts.event_log),
+            worker_client.WorkerClient(clients, parts.event_log),
             parts.leader,
             parts.sessions,
             parts.event_log,
         )
         asking = adviser.AdviceQueue(
-            worker.Advice(
+            worker_client.HttpAdviserClient(
                 clients, self._settings.advice or '', parts.event_log
             ),
             parts.leader,
@@ -87,17 +87,15 @@
         async with anyio.create_task_group() as group:
             group.start_soon(calling.run)
             group.start_soon(asking.run)
-            group.start_soon(follow_settings, self._path, parts)
+            group.start_soon(watch_settings, self._path, parts)
 
 
-async def follow_settings(
-    path: pathlib.Path, parts: program.Components
-) -> None:
+async def watch_settings(path: pathlib.Path, parts: program.Components) -> None:
     """Add the replicas of changed settings to those that are dialled."""
-    seen = setting.changed_at(path)
+    seen = setting.modified_at_ns(path)
     while True:
         await anyio.sleep(_WATCH_S)
-        changed = setting.changed_at(path)
+        changed = setting.modified_at_ns(path)
         if changed not in {seen, None}:
             seen = changed
             _read_again(path, parts)
@@ -110,20 +108,20 @@
     except setting.SettingsError as error:
         parts.event_log.warn('settings refused', str(error))
         return
-    for odd in settings.odd_seeds():
+    for odd in settings.invalid_seeds():
         parts.event_log.record('seed passed over', odd)
-    parts.leader.addresses.add(settings.seed_peers())
+    parts.leader.addresses.add(settings.seed_peer_addresses())
     parts.event_log.record('settings read', ', '.join(settings.seeds))
 
 
-def translate(settings: setting.Settings) -> program.Settings:
+def to_entry_settings(settings: setting.Settings) -> program.Settings:
     """Return the entry's settings."""
     grace_ms = int(settings.bounds.grace_s * _MS_PER_S)
     return program.Settings(
         name=settings.node_name,
         data_centre=settings.zone,
-        listen=settings.own_address(),
-        replicas=settings.seed_peers(),
+        listen=settings.api_address(),
+        replicas=settings.seed_peer_addresses(),
         statsd='',
         log_format=os.environ.get(_LOG, 'json'),
         notice_ms=min(_NOTICE_MS, grace_ms // 2),
@@ -142,9 +140,9 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = setting.find_path()
     settings = setting.read(path)
-    translated = translate(settings)
+    translated = to_entry_settings(settings)
     journal.open_log(is_json=translated.log_format == 'json')
-    extension = Platform(path, settings)
+    extension = PlatformExtension(path, settings)
     anyio.run(program.serve, translated, extension, backend='asyncio')
 
 
--- a/mulberrywalk/platform/http.py
+++ b/mulberrywalk/platform/http.py
@@ -12,15 +12,15 @@
 METRICS_PORT = 9464
 
 OK = 200
-REDIRECT = 307
+TEMPORARY_REDIRECT = 307
 BAD_REQUEST = 400
 NOT_FOUND = 404
 GONE = 410
 CONFLICT = 409
-TOO_LARGE = 413
-TOO_MANY = 429
+CONTENT_TOO_LARGE = 413
+TOO_MANY_REQUESTS = 429
 NOT_IMPLEMENTED = 501
-UNAVAILABLE = 503
+SERVICE_UNAVAILABLE = 503
 GATEWAY_TIMEOUT = 504
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
@@ -51,7 +51,9 @@
     """The body of a request exceeds what is taken."""
 
 
-async def read(scope: dict[str, Any], receive: Receive, limit: int) -> Request:
+async def read_request(
+    scope: dict[str, Any], receive: Receive, limit: int
+) -> Request:
     """Return the request; raises BodyTooLargeError beyond limit bytes."""
     chunks: list[bytes] = []
     size = 0
@@ -76,7 +78,7 @@
     )
 
 
-async def write(send: Send, response: Response) -> None:
+async def write_response(send: Send, response: Response) -> None:
     """Send a whole answer."""
     body = response.body
     if not isinstance(body, bytes):
@@ -111,7 +113,7 @@
     await send({'type': 'http.response.body', 'body': text.encode()})
 
 
-async def accept_lifespan(receive: Receive, send: Send) -> None:
+async def handle_lifespan(receive: Receive, send: Send) -> None:
     """Answer the server's start and stop; there is nothing to do."""
     while True:
         message = await receive()
--- a/mulberrywalk/platform/replica.py
+++ b/mulberrywalk/platform/replica.py
@@ -15,7 +15,7 @@
 from ..replica import leader, program
 from ..storage import disk as storage
 from ..telemetry import journal
-from . import control, http, setting
+from . import control_api, http, setting
 
 _REPAIR_AFTER_MS = 3000
 _SNAPSHOT_ENTRIES = 1500
@@ -26,7 +26,7 @@
 _LOG = 'MULBERRYWALK_LOG_FORMAT'
 
 
-class Platform(program.Extension):
+class PlatformExtension(program.Extension):
     """Workers and operators of the platform."""
 
     def __init__(self, settings: setting.Settings) -> None:
@@ -37,13 +37,13 @@
         """Serve until it is cancelled."""
         address = self._settings.bind_addrs.control
         lease_ms = int(self._settings.bounds.max_hold_ms * _LEASE_PART)
-        answering = control.Control(parts, address, lease_ms)
+        answering = control_api.ControlApi(parts, address, lease_ms)
 
         async def serve(
             scope: dict[str, Any], receive: http.Receive, send: http.Send
         ) -> None:
             if scope['type'] == 'lifespan':
-                await http.accept_lifespan(receive, send)
+                await http.handle_lifespan(receive, send)
             elif scope['server'][1] == http.METRICS_PORT:
                 await http.write_text(send, parts.metrics.show())
             elif scope['type'] == 'http':
@@ -61,7 +61,7 @@
         )
 
 
-def found_cell(settings: setting.Settings, folder: pathlib.Path) -> None:
+def bootstrap_cell(settings: setting.Settings, folder: pathlib.Path) -> None:
     """Found the cell when the system first starts and this is a seed.
 
     All seeds are told the same list, so that they found the same cell. What
@@ -80,13 +80,15 @@
                 data_centre='',
                 voter=True,
             )
-            for host, address in zip(hosts, settings.seed_peers(), strict=True)
+            for host, address in zip(
+                hosts, settings.seed_peer_addresses(), strict=True
+            )
         )
     )
     storage.found(folder, founders, f'replica-{settings.ip}')
 
 
-def translate(
+def to_replica_settings(
     settings: setting.Settings, folder: pathlib.Path
 ) -> program.Settings:
     """Return the replica's settings."""
@@ -96,7 +98,7 @@
         listen=settings.peer_address(),
         advertise=settings.peer_address(),
         folder=folder,
-        replicas=settings.seed_peers(),
+        replicas=settings.seed_peer_addresses(),
         statsd='',
         log_format=os.environ.get(_LOG, 'json'),
         policy=leader.MembershipPolicy(
@@ -113,10 +115,10 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     settings = setting.read(setting.find_path())
     folder = pathlib.Path(settings.data_dir or '')
-    found_cell(settings, folder)
-    translated = translate(settings, folder)
+    bootstrap_cell(settings, folder)
+    translated = to_replica_settings(settings, folder)
     journal.open_log(is_json=translated.log_format == 'json')
-    extension = Platform(settings)
+    extension = PlatformExtension(settings)
     anyio.run(program.serve, translated, extension, backend='asyncio')
 
 
--- a/mulberrywalk/platform/setting.py
+++ b/mulberrywalk/platform/setting.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..transport import reading
-from . import bound, http
+from . import http, validation
 
 PATH_VARIABLE = 'MULBERRYWALK_CONFIG'
 
@@ -17,7 +17,7 @@
     """Settings that cannot be read; the text says where."""
 
 
-class Addresses(msgspec.Struct, frozen=True):
+class BindAddresses(msgspec.Struct, frozen=True):
     """Where a process serves; empty for what it does not serve."""
 
     front: str = ''
@@ -25,7 +25,7 @@
     control: str = ''
 
 
-class Tolerance(msgspec.Struct, frozen=True):
+class FaultTolerance(msgspec.Struct, frozen=True):
     """What may be lost at the same time."""
 
     machines: int = 1
@@ -50,11 +50,11 @@
     node_name: str
     ip: str
     zone: str
-    internal_ports: tuple[bound.Port, bound.Port]
+    internal_ports: tuple[validation.Port, validation.Port]
     seeds: tuple[str, ...]
-    bind_addrs: Addresses = Addresses()
+    bind_addrs: BindAddresses = BindAddresses()
     bootstrap: bool = False
-    fault_tolerance: Tolerance = Tolerance()
+    fault_tolerance: FaultTolerance = FaultTolerance()
     bounds: Bounds = Bounds()
     data_dir: str | None = None
     advice: str | None = None
@@ -63,7 +63,7 @@
         """Return where this process talks to others of the system."""
         return f'{self.ip}:{self.internal_ports[0]}'
 
-    def own_address(self) -> str:
+    def api_address(self) -> str:
         """Return where this process serves its own interface and metrics."""
         port = self.internal_ports[0] + 1
         return f'{self.ip}:{port}'
@@ -77,14 +77,16 @@
         return tuple(
             seed.rpartition(':')[0]
             for seed in self.seeds
-            if bound.is_address(seed)
+            if validation.is_address(seed)
         )
 
-    def odd_seeds(self) -> tuple[str, ...]:
+    def invalid_seeds(self) -> tuple[str, ...]:
         """Return the seeds that are no address."""
-        return tuple(one for one in self.seeds if not bound.is_address(one))
+        return tuple(
+            one for one in self.seeds if not validation.is_address(one)
+        )
 
-    def seed_peers(self) -> tuple[str, ...]:
+    def seed_peer_addresses(self) -> tuple[str, ...]:
         """Return where the replicas named as seeds talk to others."""
         port = self.internal_ports[0]
         return tuple(f'{host}:{port}' for host in self.seed_hosts())
@@ -105,7 +107,7 @@
         return msgspec.json.decode(encoded, type=Settings)
 
 
-def changed_at(path: pathlib.Path) -> int | None:
+def modified_at_ns(path: pathlib.Path) -> int | None:
     """Return when the settings were changed, in nanoseconds since 1970.
 
     None while the file is not there: it may be about to be replaced.
--- a/mulberrywalk/platform/setting_test.py
+++ b/mulberrywalk/platform/setting_test.py
@@ -70,7 +70,7 @@
 
     async def run():
         async with anyio.create_task_group() as group:
-            group.start_soon(entry.follow_settings, path, parts)
+            group.start_soon(entry.watch_settings, path, parts)
             await anyio.sleep(0.02)
             for body in changes:
                 change(path, body)
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -11,7 +11,7 @@
 from ..entry import target_client
 from ..replica import registry
 from ..transport import reading
-from . import bound
+from . import validation
 
 _PERCENT = 100
 _US_PER_MS = 1000
@@ -29,12 +29,12 @@
     """A message that does not fit; the text says where."""
 
 
-class Advice(msgspec.Struct, frozen=True, rename='camel'):
+class AdviceSettings(msgspec.Struct, frozen=True, rename='camel'):
     """What an answer of a queue's adviser costs."""
 
-    decision_ms: bound.Span = 0
-    per_worker_ms: bound.Span = 0
-    valid_ms: bound.Span = 0
+    decision_ms: validation.Duration = 0
+    per_worker_ms: validation.Duration = 0
+    valid_ms: validation.Duration = 0
 
 
 class Route(msgspec.Struct, frozen=True, rename='camel'):
@@ -44,12 +44,12 @@
     host: str
     path_prefix: str
     service: str
-    timeout_ms: bound.Span
-    target_latency_ms: bound.Span = 0
+    timeout_ms: validation.Duration
+    target_latency_ms: validation.Duration = 0
     priority: int = 0
-    max_attempts: bound.Count = 0
-    slack_factor: bound.Factor = 1
-    advice: Advice | None = None
+    max_attempts: validation.Count = 0
+    slack_factor: validation.Factor = 1
+    advice: AdviceSettings | None = None
 
 
 class Service(msgspec.Struct, frozen=True):
@@ -62,13 +62,13 @@
 class Limits(msgspec.Struct, frozen=True, rename='camel'):
     """Limits of callers' requests."""
 
-    max_body_bytes: bound.Count = 0
+    max_body_bytes: validation.Count = 0
 
 
 class Configuration(msgspec.Struct, frozen=True):
     """A complete configuration under the operator's version."""
 
-    version: bound.Whole
+    version: validation.Integer
     routes: tuple[Route, ...]
     services: tuple[Service, ...]
     limits: Limits = Limits()
@@ -77,24 +77,24 @@
 class Phase(msgspec.Struct, frozen=True, rename='camel'):
     """One step of a job; cpu is in thousandths of a core."""
 
-    count: bound.Count
-    cpu: bound.Millicores = 0
-    mem_mb: bound.Mebibytes = 0
-    gpu: bound.Accelerators = 0
-    estimate_ms: bound.Span = 0
-    after: tuple[bound.Count, ...] = ()
+    count: validation.Count
+    cpu: validation.Millicores = 0
+    mem_mb: validation.Mebibytes = 0
+    gpu: validation.Accelerators = 0
+    estimate_ms: validation.Duration = 0
+    after: tuple[validation.Count, ...] = ()
     checkpointing: bool = False
     gang: bool = False
     rack_local: bool = False
     constraints: str = ''
     data_rack: str = ''
-    anti_affinity: bound.Count = 0
+    anti_affinity: validation.Count = 0
     speculative: bool = False
     long_running: bool = False
     image: str = ''
-    target_ms: bound.Span = 0
+    target_ms: validation.Duration = 0
     fills: bool = False
-    may_miss: bound.Count = 0
+    may_miss: validation.Count = 0
 
 
 class Job(msgspec.Struct, frozen=True, rename='camel'):
@@ -102,32 +102,32 @@
 
     phases: tuple[Phase, ...]
     spec: str = ''
-    repeat_count: bound.Whole = 0
-    interval_ms: bound.Rest = 0
-    first_ms: bound.Rest = 0
+    repeat_count: validation.Integer = 0
+    interval_ms: validation.SignedDuration = 0
+    first_ms: validation.SignedDuration = 0
 
 
 class Capacity(msgspec.Struct, frozen=True, rename='camel'):
     """What a worker holds; cpu is in thousandths of a core."""
 
-    cpu: bound.Millicores
-    mem_mb: bound.Mebibytes
-    gpu: bound.Accelerators = 0
+    cpu: validation.Millicores
+    mem_mb: validation.Mebibytes
+    gpu: validation.Accelerators = 0
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
     """What a worker says of itself; labels end with its rack."""
 
-    service: bound.Text
-    address: bound.Text
-    zone: bound.Text
+    service: validation.Text
+    address: validation.Text
+    zone: validation.Text
     state: str
     capacity: Capacity
-    seq: bound.Count
-    born: bound.Moment
-    labels: bound.Labels = ()
+    seq: validation.Count
+    born: validation.Timestamp
+    labels: validation.Labels = ()
     # Told while the worker drains: the least time that it stays.
-    remaining_ms: bound.Rest | None = msgspec.field(
+    remaining_ms: validation.SignedDuration | None = msgspec.field(
         name='remainingMs', default=None
     )
 
@@ -135,10 +135,10 @@
 class Listing(msgspec.Struct, frozen=True, rename='camel'):
     """What runs on a worker and what has ended there."""
 
-    clock_ms: bound.Span
-    born: bound.Count
-    running: bound.Rows = ()
-    finished: bound.Rows = ()
+    clock_ms: validation.Duration
+    born: validation.Count
+    running: validation.Rows = ()
+    finished: validation.Rows = ()
 
 
 class Refusal(msgspec.Struct, frozen=True):
@@ -154,7 +154,7 @@
     ticket: str
 
 
-class Advised(msgspec.Struct, frozen=True):
+class AdviceReply(msgspec.Struct, frozen=True):
     """The workers that may run a step: rows of id and ticket."""
 
     allowed: tuple[tuple[str, str] | Ticket, ...]
@@ -185,7 +185,7 @@
 _heartbeats = msgspec.json.Decoder(Heartbeat)
 _listings = msgspec.json.Decoder(Listing)
 _refusals = msgspec.json.Decoder(Refusal)
-_advised = msgspec.json.Decoder(Advised)
+_advised = msgspec.json.Decoder(AdviceReply)
 
 
 def read_routing(body: bytes) -> configuration.Routing:
@@ -224,7 +224,7 @@
         return msgspec.convert(fields, job.Specification)
 
 
-def digest_of(body: bytes) -> str:
+def submission_digest(body: bytes) -> str:
     """Return a digest that tells one submission from another."""
     return hashlib.sha256(body).hexdigest()
 
@@ -242,9 +242,9 @@
 ) -> registry.TargetHeartbeat:
     if read.state not in {_READY, _DRAINING}:
         raise WireError('the state is not known')
-    if not bound.is_address(read.address):
+    if not validation.is_address(read.address):
         raise WireError('the address is not IPv4:port')
-    if not bound.is_id(name):
+    if not validation.is_worker_id(name):
         raise WireError('the id is not of printable characters')
     rack = read.labels[-1] if read.labels else ''
     announcement = event.Announcement(
@@ -308,21 +308,24 @@
     return tuple((identity.TargetId(name), ticket) for name, ticket in rows)
 
 
-def split(attempt: identity.AttemptId) -> tuple[str, int]:
+def split_attempt_id(attempt: identity.AttemptId) -> tuple[str, int]:
     """Return the task and the run that the platform knows an attempt by."""
     task, _, run = attempt.rpartition('/')
     return task, int(run)
 
 
 def _attempt_of(task: object, run: object) -> identity.AttemptId:
-    if not bound.is_name(task) or not bound.is_count(run):
+    if not validation.is_task_name(task) or not validation.is_count(run):
         raise WireError('a row names no run of a task')
     return identity.AttemptId(f'{task}/{run}')
 
 
 def _saved_of(told: object) -> str:
     saved = '' if told is None else told
-    if not isinstance(saved, str) or len(saved) > bound.MOST_SAVED:
+    if (
+        not isinstance(saved, str)
+        or len(saved) > validation.MAX_CHECKPOINT_LENGTH
+    ):
         raise WireError('what a row says was saved is no text, or too long')
     return saved
 
@@ -341,13 +344,13 @@
 def _reading_of(gauge: object) -> int:
     if not isinstance(gauge, int | float) or isinstance(gauge, bool):
         return 0
-    return round(gauge) if 0 <= gauge <= bound.LAST_MS else 0
+    return round(gauge) if 0 <= gauge <= validation.MAX_TIME_MS else 0
 
 
 def _ended_of(row: tuple[object, ...]) -> target_client.EndedAttempt:
     """Return what a row of ends says: number, task, run, how, saved."""
     number = row[0]
-    if not bound.is_count(number):
+    if not validation.is_count(number):
         raise WireError('an end is not numbered')
     reason = _ENDS.get(str(row[3]))
     if reason is None:
@@ -375,7 +378,7 @@
     )
 
 
-def _terms_of(advice: Advice | None) -> job.AdviceSettings | None:
+def _terms_of(advice: AdviceSettings | None) -> job.AdviceSettings | None:
     if advice is None or not advice.valid_ms:
         return None
     per_worker_us = int(advice.per_worker_ms * _US_PER_MS)
--- a/mulberrywalk/platform/wire_test.py
+++ b/mulberrywalk/platform/wire_test.py
@@ -246,7 +246,7 @@
 
 def test_attempt_is_known_by_task_and_run():
     name = identity.AttemptId('5c0e7a21d94b36f8.0.1.17/2')
-    assert wire.split(name) == ('5c0e7a21d94b36f8.0.1.17', 2)
+    assert wire.split_attempt_id(name) == ('5c0e7a21d94b36f8.0.1.17', 2)
 
 
 def test_tickets_come_as_rows():
@@ -430,7 +430,7 @@
     except wire.WireError:
         return
     for one in (*seen.running, *seen.ended):
-        wire.split(one.attempt)
+        wire.split_attempt_id(one.attempt)
         numbers = getattr(one, 'number', 0), getattr(one, 'gauge', 0)
         msgspec.msgpack.encode((one.attempt, one.checkpoint, numbers))
 
--- a/mulberrywalk/platform/worker.py
+++ b/mulberrywalk/platform/worker_client.py
@@ -16,7 +16,7 @@
 from ..entry import adviser, target_client
 from ..telemetry import journal
 from ..transport import wire as messages
-from . import bound, http, wire
+from . import http, validation, wire
 
 _ORDER_S = 0.3
 # Beyond the time that the answer itself is allowed to wait for an end.
@@ -41,8 +41,8 @@
         http.OK: target_client.CallResult.DONE,
         http.BAD_REQUEST: target_client.CallResult.INVALID,
         _WRONG_LIFE: target_client.CallResult.WRONG_INCARNATION,
-        http.TOO_MANY: target_client.CallResult.UNHEALTHY,
-        http.UNAVAILABLE: target_client.CallResult.UNHEALTHY,
+        http.TOO_MANY_REQUESTS: target_client.CallResult.UNHEALTHY,
+        http.SERVICE_UNAVAILABLE: target_client.CallResult.UNHEALTHY,
     }
 )
 
@@ -56,7 +56,7 @@
 )
 
 
-class Clients:
+class ClientPool:
     """One HTTP client for each address that is called.
 
     A client looks at all of its idle connections on each call, so that one
@@ -69,9 +69,9 @@
         # Nothing is encrypted here; a client without one makes its own.
         self._context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 
-    def find(self, address: str) -> httpx.AsyncClient | None:
+    def get(self, address: str) -> httpx.AsyncClient | None:
         """Return the client of an address, or None when it is not IPv4:port."""
-        if not bound.is_address(address):
+        if not validation.is_address(address):
             return None
         client = self._clients.get(address)
         if client is None:
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answered:
+class HttpReply:
     """An answer that was read whole."""
 
     status: int
@@ -110,7 +110,7 @@
     body: dict[str, Any],
     headers: Mapping[str, str],
     seconds: float,
-) -> Answered | None:
+) -> HttpReply | None:
     """Return the answer, or None when none came in time or none can come.
 
     One that is packed, or longer than _MOST_BYTES, counts as none.
@@ -129,7 +129,7 @@
     return None
 
 
-async def _read(answered: httpx.Response) -> Answered | None:
+async def _read(answered: httpx.Response) -> HttpReply | None:
     if _PACKED in answered.headers:
         return None
     chunks: list[bytes] = []
@@ -139,13 +139,13 @@
         if size > _MOST_BYTES:
             return None
         chunks.append(chunk)
-    return Answered(answered.status_code, b''.join(chunks))
+    return HttpReply(answered.status_code, b''.join(chunks))
 
 
-class Worker(target_client.TargetClient):
+class WorkerClient(target_client.TargetClient):
     """Orders and looks as calls to workers."""
 
-    def __init__(self, clients: Clients, lines: journal.Journal) -> None:
+    def __init__(self, clients: ClientPool, lines: journal.Journal) -> None:
         """Use the clients that are given."""
         self._clients = clients
         self._lines = lines
@@ -236,9 +236,9 @@
         path: str,
         body: dict[str, Any],
         seconds: float,
-    ) -> Answered | None:
+    ) -> HttpReply | None:
         return await post(
-            self._clients.find(destination.address),
+            self._clients.get(destination.address),
             f'/{path}',
             body,
             {**_HEADERS, _PLACE: destination.target},
@@ -246,11 +246,11 @@
         )
 
 
-class Advice(adviser.AdviserClient):
+class HttpAdviserClient(adviser.AdviserClient):
     """Questions as calls to the adviser of the platform."""
 
     def __init__(
-        self, clients: Clients, address: str, lines: journal.Journal
+        self, clients: ClientPool, address: str, lines: journal.Journal
     ) -> None:
         """Ask at an address, host:port."""
         self._clients = clients
@@ -262,7 +262,7 @@
     ) -> tuple[tuple[identity.TargetId, str], ...] | None:
         """Return allowed workers with their tickets, or None on failure."""
         answered = await post(
-            self._clients.find(self._address),
+            self._clients.get(self._address),
             '/advise',
             {'step': step, 'workers': targets},
             _HEADERS,
@@ -278,11 +278,11 @@
 
 
 def _order(attempt: identity.AttemptId, term: int) -> dict[str, Any]:
-    task, run = wire.split(attempt)
+    task, run = wire.split_attempt_id(attempt)
     return {'task': task, 'runId': run, 'fencingToken': term}
 
 
-def _answer_of(answered: Answered) -> target_client.CallResult:
+def _answer_of(answered: HttpReply) -> target_client.CallResult:
     if answered.status == http.CONFLICT:
         return wire.read_refusal(answered.body)
     return _STATUSES.get(answered.status, target_client.CallResult.NO_REPLY)
--- a/mulberrywalk/platform/worker_test.py
+++ b/mulberrywalk/platform/worker_client_test.py
@@ -11,7 +11,7 @@
 from ..core import identity
 from ..entry import target_client
 from ..telemetry import journal
-from . import worker
+from . import worker_client
 
 ODD_ADDRESSES = (
     '',
@@ -29,8 +29,8 @@
 
 
 def look(destination):
-    caller = worker.Worker(
-        worker.Clients(), journal.Journal(journal.Origin('e', 'd'))
+    caller = worker_client.WorkerClient(
+        worker_client.ClientPool(), journal.Journal(journal.Origin('e', 'd'))
     )
     glance = target_client.PollRequest(1, None, 0, 0)
     return anyio.run(caller.poll, destination, glance)
@@ -51,7 +51,9 @@
 @pytest.mark.parametrize('address', ODD_ADDRESSES)
 def test_adviser_that_cannot_be_called_gives_no_advice(address):
     lines = journal.Journal(journal.Origin('e', 'd'))
-    asking = worker.Advice(worker.Clients(), address, lines)
+    asking = worker_client.HttpAdviserClient(
+        worker_client.ClientPool(), address, lines
+    )
     told = anyio.run(asking.advise, identity.StepId('j.0.0'), ())
     assert told is None
 
