--- a/mulberrywalk/platform/__init__.py
+++ b/mulberrywalk/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Translation between the product and the users' platform."""
+"""Adapters between the scheduler and the users' platform."""
--- a/mulberrywalk/platform/validation.py
+++ b/mulberrywalk/platform/bound.py
@@ -1,7 +1,7 @@
-"""What the platform's messages may say, in ranges with their units.
+"""Types, units and limits of the values in the platform's messages.
 
-They are wider than anything that a worker, an operator or a caller has to say,
-and narrow enough for all that is computed from them to be kept in the log.
+The limits exceed every value that workers, operators and callers need to send.
+They are low enough that all values computed from them fit into the log.
 """
 
 from __future__ import annotations
@@ -13,42 +13,42 @@
 
 from ..core import job
 
-# The largest whole number of 64 bits with a sign, which the log holds.
+# The largest signed 64-bit integer, which is the largest that the log holds.
 MAX_INTEGER = job.MAX_INT64
-# The last millisecond of the year 9999, counted from 1970.
+# The last millisecond of the year 9999, in milliseconds since 1970.
 MAX_TIME_MS = 253_402_300_799_999
-# Thousandths of a core: a million cores.
+# One million cores.
 MAX_MILLICORES = 1_000_000_000
 _BYTES_PER_MIB = 1_048_576
 MAX_MEMORY_MIB = job.MAX_MEMORY_BYTES // _BYTES_PER_MIB
-# Characters of a name, a label or an id.
+# Characters in a name, a label or an id.
 MAX_TEXT_LENGTH = 256
 MAX_LABELS = 64
 MAX_FACTOR = 1_000_000
-# Rows of one listing; a worker lists no more than 500 ends at a time.
+# Rows in a listing; a worker lists at most 500 ended attempts at a time.
 MAX_ROWS = 10_000
-# Characters of what an attempt has saved.
+# Characters in the checkpoint of an attempt.
 MAX_CHECKPOINT_LENGTH = 65_536
 
 _PORT = re.compile('[0-9]{1,5}')
 _MAX_PORT = 65_535
 _OCTET = '(25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])'
 _IPV4_ADDRESS = re.compile(rf'({_OCTET}\.){{3}}{_OCTET}')
-# An id goes into paths and headers.
+# Printable ASCII, because the id is used in paths and headers.
 _WORKER_ID = re.compile(f'[!-~]{{1,{MAX_TEXT_LENGTH}}}')
 
 Port: TypeAlias = Annotated[int, msgspec.Meta(ge=1, le=_MAX_PORT)]
 Integer: TypeAlias = job.Int64
 Count: TypeAlias = Annotated[int, msgspec.Meta(ge=0, le=MAX_INTEGER)]
-# Milliseconds since 1970 of something that has happened.
+# Milliseconds since 1970 of an event in the past.
 Timestamp: TypeAlias = Annotated[int, msgspec.Meta(ge=1, le=MAX_TIME_MS)]
-# Milliseconds of a length of time, or of a worker's own clock.
+# Milliseconds of a duration, or a reading of a worker's clock.
 Duration: TypeAlias = Annotated[float, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
-# Milliseconds that may be told as passed already.
+# Milliseconds of a duration or a time that may be in the past.
 SignedDuration: TypeAlias = Annotated[
     float, msgspec.Meta(ge=-MAX_TIME_MS, le=MAX_TIME_MS)
 ]
-# Times of its longest chain of work that a job may take.
+# The allowed duration of a job as a multiple of its critical path.
 Factor: TypeAlias = Annotated[float, msgspec.Meta(ge=0, le=MAX_FACTOR)]
 Millicores: TypeAlias = Annotated[float, msgspec.Meta(ge=0, le=MAX_MILLICORES)]
 Mebibytes: TypeAlias = Annotated[float, msgspec.Meta(ge=0, le=MAX_MEMORY_MIB)]
@@ -65,7 +65,7 @@
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is an address to call: IPv4:port."""
+    """Return whether the text is an address of the form IPv4:port."""
     host, _, port = text.rpartition(':')
     if not _IPV4_ADDRESS.fullmatch(host) or not _PORT.fullmatch(port):
         return False
@@ -73,18 +73,18 @@
 
 
 def is_worker_id(text: str) -> bool:
-    """Return whether a text can be the id of a worker."""
+    """Return whether the text is a valid worker id."""
     return bool(_WORKER_ID.fullmatch(text))
 
 
-def is_task_name(told: object) -> TypeGuard[str]:
-    """Return whether something can be the name of a task."""
-    return isinstance(told, str) and 0 < len(told) <= MAX_TEXT_LENGTH
+def is_task_name(field: object) -> TypeGuard[str]:
+    """Return whether the value is a valid task name."""
+    return isinstance(field, str) and 0 < len(field) <= MAX_TEXT_LENGTH
 
 
-def is_count(told: object) -> TypeGuard[int]:
-    """Return whether something is a whole number that the log holds."""
-    # A truth value is an integer too.
-    if not isinstance(told, int) or isinstance(told, bool):
+def is_count(field: object) -> TypeGuard[int]:
+    """Return whether the value is a non-negative integer for the log."""
+    # bool is a subclass of int.
+    if not isinstance(field, int) or isinstance(field, bool):
         return False
-    return 0 <= told <= MAX_INTEGER
+    return 0 <= field <= MAX_INTEGER
--- a/mulberrywalk/platform/caller_api.py
+++ b/mulberrywalk/platform/caller_api.py
@@ -1,4 +1,4 @@
-"""The platform's interface for callers, at every entry."""
+"""The platform's interface for callers, on every entry."""
 
 from __future__ import annotations
 
@@ -13,20 +13,21 @@
 from ..transport import wire as messages
 from . import http, wire
 
-_JOB = re.compile('[0-9a-f]{16}', re.IGNORECASE)
-_DEADLINE = 'mulberrywalk-deadline-ms'
+_JOB_ID = re.compile('[0-9a-f]{16}', re.IGNORECASE)
+_DEADLINE_HEADER = 'mulberrywalk-deadline-ms'
 _READY_PATH = '/readyz'
 _MS_PER_S = 1000
-_LONGEST_S = 10.0
-# An answer that says that none is known has to reach the caller in time.
+_MAX_WAIT_S = 10.0
+# Subtracted from the deadline, so that the response to a call that has timed
+# out still reaches the caller in time.
 _ANSWER_MARGIN_S = 0.12
-_SHORTEST_S = 0.05
-# A request that comes while a leader is being found waits for so long.
-_HOLD_S = 1.0
+_MIN_WAIT_S = 0.05
+# How long a request waits while the entry has no confirmed configuration.
+_LEADER_WAIT_S = 1.0
 _RETRY_AFTER_S = 1
-_BODY_BYTES = 1_048_576
+_DEFAULT_MAX_BODY_BYTES = 1_048_576
 
-_STATES = MappingProxyType(
+_STATE_NAMES = MappingProxyType(
     {
         job.JobState.QUEUED: 'queued',
         job.JobState.RUNNING: 'running',
@@ -36,7 +37,7 @@
         job.JobState.UNKNOWN: 'failed',
     }
 )
-_REFUSALS = MappingProxyType(
+_REFUSAL_STATUSES = MappingProxyType(
     {
         'queue_full': http.TOO_MANY_REQUESTS,
         'overloaded': http.SERVICE_UNAVAILABLE,
@@ -49,22 +50,22 @@
 
 
 class CallerApi:
-    """Answers callers by calls to the leader."""
-
-    def __init__(self, parts: program.Components) -> None:
-        """Prepare; serve is the ASGI application."""
-        self._leader: upstream.Upstream = parts.leader
-        self._duty = parts.api.serving_state
-        self._lines: journal.Journal = parts.event_log
-        self._metrics = parts.metrics
+    """The ASGI application for callers; it forwards requests to the leader."""
+
+    def __init__(self, components: program.Components) -> None:
+        """Set up the state; serve is the ASGI application."""
+        self._leader: upstream.Upstream = components.leader
+        self._serving_state = components.api.serving_state
+        self._event_log: journal.Journal = components.event_log
+        self._metrics = components.metrics
         self._routing: configuration.Routing | None = None
-        self._prefixes: dict[str, list[configuration.Queue]] = {}
+        self._queues_by_host: dict[str, list[configuration.Queue]] = {}
 
     async def serve(
         self, scope: dict[str, Any], receive: http.Receive, send: http.Send
     ) -> None:
-        """Answer one request."""
-        with self._duty:
+        """Serve one request."""
+        with self._serving_state:
             try:
                 request = await http.read_request(
                     scope, receive, self._body_limit()
@@ -77,23 +78,23 @@
             except ConnectionError:
                 return
             received_at = clock.monotonic_ms()
-            response = await self._answer(request)
+            response = await self._dispatch(request)
             if request.path != _READY_PATH:
                 kind = request.method.lower()
-                passed_ms = clock.monotonic_ms() - received_at
-                self._metrics.timing(f'answer_{kind}', passed_ms)
+                duration_ms = clock.monotonic_ms() - received_at
+                self._metrics.timing(f'answer_{kind}', duration_ms)
                 self._metrics.incr(f'answers_{kind}_{response.status}')
-            if self._duty.is_draining:
+            if self._serving_state.is_draining:
                 response.headers['connection'] = 'close'
             await http.write_response(send, response)
 
-    async def _answer(self, request: http.Request) -> http.Response:
+    async def _dispatch(self, request: http.Request) -> http.Response:
         if request.path == _READY_PATH:
-            return self._answer_readiness()
-        asked_at = clock.monotonic_ms()
-        if not await self._leader.wait_until_current(_HOLD_S):
+            return self._get_readiness()
+        wait_started_at = clock.monotonic_ms()
+        if not await self._leader.wait_until_current(_LEADER_WAIT_S):
             age_ms = self._leader.confirmation_age_ms()
-            self._lines.record(
+            self._event_log.record(
                 'refused',
                 f'{request.method} {request.path}: '
                 f'configuration not confirmed for {age_ms} ms',
@@ -102,31 +103,31 @@
             return _unavailable('the configuration could not be confirmed')
         queue = self._find_queue(request)
         if queue is None:
-            self._lines.record('refused', f'no queue for {request.path}')
+            self._event_log.record('refused', f'no queue for {request.path}')
             return http.Response(http.NOT_FOUND, {'error': 'no such queue'})
-        held_s = (clock.monotonic_ms() - asked_at) / _MS_PER_S
-        return await self._answer_for_queue(request, queue, held_s)
+        waited_s = (clock.monotonic_ms() - wait_started_at) / _MS_PER_S
+        return await self._dispatch_to_queue(request, queue, waited_s)
 
-    async def _answer_for_queue(
+    async def _dispatch_to_queue(
         self,
         request: http.Request,
         queue: configuration.Queue,
-        held_s: float,
+        waited_s: float,
     ) -> http.Response:
         name = request.path[len(queue.path_prefix) :]
-        seconds = max(_SHORTEST_S, _patience_s(request, queue) - held_s)
+        timeout_s = max(_MIN_WAIT_S, _wait_limit_s(request, queue) - waited_s)
         if request.method == 'GET' and not name:
-            return await self._count(queue, seconds)
-        if not _JOB.fullmatch(name):
+            return await self._count_pending(queue, timeout_s)
+        if not _JOB_ID.fullmatch(name):
             return http.Response(http.BAD_REQUEST, {'error': 'no job id'})
         if request.method == 'POST':
-            return await self._submit(request, queue, name, seconds)
+            return await self._submit(request, queue, name, timeout_s)
         if request.method == 'DELETE':
-            return await self._cancel(name, seconds)
-        return await self._get_state(name, seconds)
+            return await self._cancel(name, timeout_s)
+        return await self._get_state(name, timeout_s)
 
-    def _answer_readiness(self) -> http.Response:
-        if self._duty.is_draining:
+    def _get_readiness(self) -> http.Response:
+        if self._serving_state.is_draining:
             return _unavailable('this entry is stopping')
         if not self._leader.is_current():
             return _unavailable('no leader confirms this entry')
@@ -137,7 +138,7 @@
         request: http.Request,
         queue: configuration.Queue,
         name: str,
-        seconds: float,
+        timeout_s: float,
     ) -> http.Response:
         try:
             specification = wire.read_job(request.body, name, queue)
@@ -146,95 +147,101 @@
         submission = messages.Submit(
             specification, wire.submission_digest(request.body)
         )
-        reply = await self._leader.propose(submission, seconds)
-        return self._respond('submit', name, reply)
+        reply = await self._leader.propose(submission, timeout_s)
+        return self._to_response('submit', name, reply)
 
-    async def _cancel(self, name: str, seconds: float) -> http.Response:
-        cancelled = messages.Cancel(identity.JobId(name))
-        reply = await self._leader.propose(cancelled, seconds)
-        return self._respond('cancel', name, reply)
+    async def _cancel(self, name: str, timeout_s: float) -> http.Response:
+        cancellation = messages.Cancel(identity.JobId(name))
+        reply = await self._leader.propose(cancellation, timeout_s)
+        return self._to_response('cancel', name, reply)
 
-    async def _get_state(self, name: str, seconds: float) -> http.Response:
-        asked = messages.GetState(identity.JobId(name))
-        reply = await self._leader.propose(asked, seconds)
+    async def _get_state(self, name: str, timeout_s: float) -> http.Response:
+        query = messages.GetState(identity.JobId(name))
+        reply = await self._leader.propose(query, timeout_s)
         if reply is not None and reply[codec.TAG] == 'job_state':
-            state = _STATES[job.JobState(reply['state'])]
+            state = _STATE_NAMES[job.JobState(reply['state'])]
             return http.Response(http.OK, {'state': state})
-        return self._respond('state', name, reply)
+        return self._to_response('state', name, reply)
 
-    async def _count(
-        self, queue: configuration.Queue, seconds: float
+    async def _count_pending(
+        self, queue: configuration.Queue, timeout_s: float
     ) -> http.Response:
         reply = await self._leader.call(
-            messages.CountPending(queue.name), seconds
+            messages.CountPending(queue.name), timeout_s
         )
         if reply is None:
-            return self._respond('count', queue.name, reply)
+            return self._to_response('count', queue.name, reply)
         return http.Response(http.OK, {'pending': reply['count']})
 
-    def _respond(
-        self, what: str, name: str, reply: dict[str, Any] | None
+    def _to_response(
+        self, operation: str, name: str, reply: dict[str, Any] | None
     ) -> http.Response:
-        told = reply[codec.TAG] if reply else 'unknown'
+        outcome = reply[codec.TAG] if reply else 'unknown'
         reason = reply.get('reason', '') if reply else 'no answer in time'
-        self._lines.record(
-            'answered', f'{what} {name}: {told} {reason}', job=name
+        self._event_log.record(
+            'answered', f'{operation} {name}: {outcome} {reason}', job=name
         )
         if reply is None:
             return http.Response(http.GATEWAY_TIMEOUT, {'error': reason})
         if reason:
-            status = _REFUSALS.get(reason, http.BAD_REQUEST)
+            status = _REFUSAL_STATUSES.get(reason, http.BAD_REQUEST)
             if status in {http.TOO_MANY_REQUESTS, http.SERVICE_UNAVAILABLE}:
-                return _refuse(status, reply.get('detail', ''))
+                return _refusal(status, reply.get('detail', ''))
             return http.Response(status, {'error': reply.get('detail', '')})
         return http.Response(http.OK)
 
     def _find_queue(self, request: http.Request) -> configuration.Queue | None:
-        """Return the queue with the longest prefix of the path."""
+        """Return the queue with the longest path prefix that matches."""
         current = self._leader.configuration
         if current is None:
             return None
         if current.routing is not self._routing:
-            self._index(current.routing)
+            self._index_queues(current.routing)
         host = request.headers.get('host', '').partition(':')[0].lower()
         return next(
             (
                 queue
-                for queue in self._prefixes.get(host, ())
+                for queue in self._queues_by_host.get(host, ())
                 if request.path.startswith(queue.path_prefix)
             ),
             None,
         )
 
-    def _index(self, routing: configuration.Routing) -> None:
+    def _index_queues(self, routing: configuration.Routing) -> None:
         self._routing = routing
-        self._prefixes = {}
+        self._queues_by_host = {}
         ordered = sorted(
-            routing.queues, key=lambda one: len(one.path_prefix), reverse=True
+            routing.queues,
+            key=lambda queue: len(queue.path_prefix),
+            reverse=True,
         )
         for queue in ordered:
-            self._prefixes.setdefault(queue.host, []).append(queue)
+            self._queues_by_host.setdefault(queue.host, []).append(queue)
 
     def _body_limit(self) -> int:
         current = self._leader.configuration
-        return (current and current.routing.max_body_bytes) or _BODY_BYTES
+        return (
+            current and current.routing.max_body_bytes
+        ) or _DEFAULT_MAX_BODY_BYTES
 
 
-def _patience_s(request: http.Request, queue: configuration.Queue) -> float:
-    """Return how long an answer may take."""
-    bound_s = min(_LONGEST_S, queue.timeout_ms / _MS_PER_S)
+def _wait_limit_s(request: http.Request, queue: configuration.Queue) -> float:
+    """Return how long a request may take, in seconds."""
+    max_wait_s = min(_MAX_WAIT_S, queue.timeout_ms / _MS_PER_S)
     try:
-        deadline_s = float(request.headers.get(_DEADLINE, '')) / _MS_PER_S
+        deadline_s = (
+            float(request.headers.get(_DEADLINE_HEADER, '')) / _MS_PER_S
+        )
     except ValueError:
-        deadline_s = bound_s
-    return max(_SHORTEST_S, min(bound_s, deadline_s) - _ANSWER_MARGIN_S)
+        deadline_s = max_wait_s
+    return max(_MIN_WAIT_S, min(max_wait_s, deadline_s) - _ANSWER_MARGIN_S)
 
 
 def _unavailable(reason: str) -> http.Response:
-    return _refuse(http.SERVICE_UNAVAILABLE, reason)
+    return _refusal(http.SERVICE_UNAVAILABLE, reason)
 
 
-def _refuse(status: int, reason: str) -> http.Response:
+def _refusal(status: int, reason: str) -> http.Response:
     return http.Response(
         status, {'error': reason}, {'retry-after': str(_RETRY_AFTER_S)}
     )
--- a/mulberrywalk/platform/caller_api_test.py
+++ b/mulberrywalk/platform/caller_api_test.py
@@ -1,4 +1,4 @@
-"""Callers of the platform: queues by their longest prefix, and answers."""
+"""The caller API: choice of the queue, responses and invalid requests."""
 
 import json
 
@@ -16,19 +16,19 @@
 
 
 class FakeLeader(upstream.Upstream):
-    """Answers every call with the same reply."""
+    """Returns the same reply to every call."""
 
     def __init__(self, reply, *, is_ready=True):
-        lines = journal.Journal(journal.Origin('e', 'd'))
-        super().__init__(('a:1',), lines, cost.Meter())
+        event_log = journal.Journal(journal.Origin('e', 'd'))
+        super().__init__(('a:1',), event_log, cost.Meter())
         self.reply = reply
         self.is_ready = is_ready
-        self.asked = []
+        self.requests = []
         queues = tuple(
             configuration.Queue(
-                name, 'h', prefix, 'p', job.Urgency.HIGH, 3000, 1, 100, 1
+                name, 'h', path_prefix, 'p', job.Urgency.HIGH, 3000, 1, 100, 1
             )
-            for name, prefix in (('outer', '/a/'), ('inner', '/a/b/'))
+            for name, path_prefix in (('outer', '/a/'), ('inner', '/a/b/'))
         )
         self.configuration = configuration.Configuration(
             1, configuration.Document(), configuration.Routing(1, queues)
@@ -38,15 +38,15 @@
         return self.is_ready
 
     async def call(self, request, seconds):
-        self.asked.append(request)
+        self.requests.append(request)
         return self.reply
 
     async def propose(self, request, seconds):
         return await self.call(request, seconds)
 
 
-class Parts:
-    """What the interface is composed with."""
+class FakeComponents:
+    """The components that the caller API uses."""
 
     def __init__(self, leader):
         self.leader = leader
@@ -56,10 +56,12 @@
         self.serving_state = http_api.ServingState()
 
 
-def ask(leader, method, path, body=b'', *, is_draining=False, headers=()):
-    """Return the status and the headers of an answer."""
-    parts = Parts(leader)
-    parts.serving_state.is_draining = is_draining
+def send_request(
+    leader, method, path, body=b'', *, is_draining=False, headers=()
+):
+    """Send a request and return the status and headers of the response."""
+    components = FakeComponents(leader)
+    components.serving_state.is_draining = is_draining
     sent = []
 
     async def receive():
@@ -70,7 +72,7 @@
 
     host = (b'host', b'H:80')
     scope = {'method': method, 'path': path, 'headers': [host, *headers]}
-    anyio.run(caller_api.CallerApi(parts).serve, scope, receive, send)
+    anyio.run(caller_api.CallerApi(components).serve, scope, receive, send)
     headers = {
         name.decode(): text.decode() for name, text in sent[0]['headers']
     }
@@ -82,14 +84,14 @@
 )
 def test_longest_prefix_selects_the_queue(path, queue):
     leader = FakeLeader({codec.TAG: 'pending', 'count': 3})
-    assert ask(leader, 'GET', path)[0] == 200
-    assert leader.asked[0].queue == queue
+    assert send_request(leader, 'GET', path)[0] == 200
+    assert leader.requests[0].queue == queue
 
 
-def test_path_without_a_queue_is_not_found():
+def test_path_without_queue_is_not_found():
     leader = FakeLeader(None)
-    assert ask(leader, 'POST', f'/z/{NAME}', BODY)[0] == 404
-    assert not leader.asked
+    assert send_request(leader, 'POST', f'/z/{NAME}', BODY)[0] == 404
+    assert not leader.requests
 
 
 @pytest.mark.parametrize(
@@ -103,67 +105,71 @@
         (None, 504),
     ],
 )
-def test_submission_is_answered_by_its_outcome(reply, status):
-    told, headers = ask(FakeLeader(reply), 'POST', f'/a/{NAME}', BODY)
-    assert told == status
+def test_status_of_submission_follows_reply(reply, status):
+    received_status, headers = send_request(
+        FakeLeader(reply), 'POST', f'/a/{NAME}', BODY
+    )
+    assert received_status == status
     assert ('retry-after' in headers) == (status in {429, 503})
 
 
-def test_entry_without_proof_hands_nothing_on():
+def test_entry_without_current_configuration_forwards_nothing():
     leader = FakeLeader(None, is_ready=False)
-    status, headers = ask(leader, 'POST', f'/a/{NAME}', BODY)
+    status, headers = send_request(leader, 'POST', f'/a/{NAME}', BODY)
     assert status == 503
     assert 'retry-after' in headers
-    assert not leader.asked
+    assert not leader.requests
 
 
-def test_request_waits_while_a_leader_is_being_found():
+def test_request_waits_for_current_configuration():
     leader = FakeLeader({codec.TAG: 'accepted', 'job': NAME})
-    readings = iter((False, False, False))
-    leader.is_current = lambda: next(readings, True)
-    status, _ = ask(leader, 'POST', f'/a/{NAME}', BODY)
+    is_current_results = iter((False, False, False))
+    leader.is_current = lambda: next(is_current_results, True)
+    status, _ = send_request(leader, 'POST', f'/a/{NAME}', BODY)
     assert status == 200
-    assert len(leader.asked) == 1
+    assert len(leader.requests) == 1
 
 
-def test_stopping_entry_is_not_ready_and_closes_connections():
+def test_draining_entry_is_not_ready_and_closes_connections():
     leader = FakeLeader({codec.TAG: 'pending', 'count': 0})
-    assert ask(leader, 'GET', '/readyz', is_draining=True)[0] == 503
-    status, headers = ask(leader, 'GET', '/a/', is_draining=True)
+    assert send_request(leader, 'GET', '/readyz', is_draining=True)[0] == 503
+    status, headers = send_request(leader, 'GET', '/a/', is_draining=True)
     assert (status, headers['connection']) == (200, 'close')
 
 
 @pytest.mark.parametrize('body', [b'{', b'[]', b'{"phases": []}'])
-def test_unreadable_job_is_not_handed_on(body):
+def test_unreadable_job_is_refused(body):
     leader = FakeLeader({codec.TAG: 'not_run', 'reason': 'invalid_job'})
-    assert ask(leader, 'POST', f'/a/{NAME}', body)[0] == 400
+    assert send_request(leader, 'POST', f'/a/{NAME}', body)[0] == 400
 
 
 def test_unknown_job_is_gone():
     leader = FakeLeader({codec.TAG: 'not_run', 'reason': 'not_found'})
-    assert ask(leader, 'GET', f'/a/{NAME}')[0] == 410
+    assert send_request(leader, 'GET', f'/a/{NAME}')[0] == 410
 
 
 @pytest.mark.parametrize(
-    'told',
+    'header',
     [
         *(b'', b'x', b'nan', b'inf', b'-inf', b'1e999', b'-1', b'0', b'1e300'),
         *(b'\xff', b'9' * 5000, b'1_0', b' 5 ', b'0x10'),
     ],
 )
-def test_odd_deadline_of_a_caller_bounds_the_wait_all_the_same(told):
+def test_wait_is_limited_despite_invalid_deadline(header):
     leader = FakeLeader({codec.TAG: 'accepted', 'job': NAME})
-    waits = []
+    timeouts = []
 
     async def propose(request, seconds):
-        waits.append(seconds)
+        timeouts.append(seconds)
         return leader.reply
 
     leader.propose = propose
-    deadline = (b'mulberrywalk-deadline-ms', told)
-    status, _ = ask(leader, 'POST', f'/a/{NAME}', BODY, headers=[deadline])
+    deadline = (b'mulberrywalk-deadline-ms', header)
+    status, _ = send_request(
+        leader, 'POST', f'/a/{NAME}', BODY, headers=[deadline]
+    )
     assert status == 200
-    assert 0 < waits[0] <= 3
+    assert 0 < timeouts[0] <= 3
 
 
 @pytest.mark.parametrize(
@@ -171,10 +177,10 @@
     ['x', f'{NAME}0', f'{NAME}/', f'{NAME}\n', '\u0660' * 16, '\xe9', ' '],
 )
 @pytest.mark.parametrize('method', ['GET', 'POST', 'DELETE', 'PUT'])
-def test_odd_id_of_a_job_is_refused(method, name):
+def test_invalid_job_id_is_refused(method, name):
     leader = FakeLeader({codec.TAG: 'accepted', 'job': NAME})
-    assert ask(leader, method, f'/a/{name}', BODY)[0] == 400
-    assert not leader.asked
+    assert send_request(leader, method, f'/a/{name}', BODY)[0] == 400
+    assert not leader.requests
 
 
 @pytest.mark.parametrize(
@@ -187,7 +193,7 @@
         b'{"phases": [{"count": 1}], "repeatCount": 2, "firstMs": 1e300}',
     ],
 )
-def test_job_that_cannot_be_read_or_kept_is_not_handed_on(body):
+def test_undecodable_job_is_not_forwarded(body):
     leader = FakeLeader({codec.TAG: 'accepted', 'job': NAME})
-    assert ask(leader, 'POST', f'/a/{NAME}', body)[0] == 400
-    assert not leader.asked
+    assert send_request(leader, 'POST', f'/a/{NAME}', body)[0] == 400
+    assert not leader.requests
--- a/mulberrywalk/platform/control_api_test.py
+++ b/mulberrywalk/platform/control_api_test.py
@@ -1,4 +1,4 @@
-"""What a replica answers to workers and operators, odd ones among them."""
+"""The control API: redirects to the leader and invalid requests."""
 
 import types
 
@@ -18,7 +18,7 @@
 
 
 class FakeEngine:
-    """Leads, or knows who does."""
+    """An engine that is the leader, or whose leader is MEMBER."""
 
     def __init__(self, *, is_leading):
         self.is_leading = is_leading
@@ -33,12 +33,12 @@
         return self.is_leading
 
 
-def ask(path, body=b'', *, is_leading=True):
-    """Return the status and the headers of an answer."""
-    running = FakeEngine(is_leading=is_leading)
-    leader = types.SimpleNamespace(registry=registry.Registry(running))
-    parts = types.SimpleNamespace(
-        engine=running,
+def send_request(path, body=b'', *, is_leading=True):
+    """Send a request and return the status and headers of the response."""
+    fake_engine = FakeEngine(is_leading=is_leading)
+    leader = types.SimpleNamespace(registry=registry.Registry(fake_engine))
+    components = types.SimpleNamespace(
+        engine=fake_engine,
         leader=leader,
         logger=journal.Journal(journal.Origin('a', 'd')),
     )
@@ -51,8 +51,8 @@
         sent.append(message)
 
     scope = {'method': 'POST', 'path': path, 'headers': []}
-    answering = control_api.ControlApi(parts, '10.0.0.1:8080', 8000)
-    anyio.run(answering.serve, scope, receive, send)
+    api = control_api.ControlApi(components, '10.0.0.1:8080', 8000)
+    anyio.run(api.serve, scope, receive, send)
     return sent[0]['status'], sent[0]['headers']
 
 
@@ -66,8 +66,8 @@
         '/instances/\x00/deregister',
     ],
 )
-def test_odd_path_is_redirected_in_a_header_that_can_be_sent(path):
-    status, headers = ask(path, is_leading=False)
+def test_redirect_of_unusual_path_has_valid_location_header(path):
+    status, headers = send_request(path, is_leading=False)
     assert status == 307
     h11.Response(status_code=status, headers=headers)
     location = dict(headers)[b'location']
@@ -76,8 +76,8 @@
     assert b' ' not in location
 
 
-def test_plain_path_is_redirected_as_it_is():
-    _, headers = ask('/instances/i-7f3a/heartbeat', is_leading=False)
+def test_redirect_keeps_plain_path():
+    _, headers = send_request('/instances/i-7f3a/heartbeat', is_leading=False)
     assert dict(headers)[b'location'] == (
         b'http://10.0.0.2:8080/instances/i-7f3a/heartbeat'
     )
@@ -87,13 +87,13 @@
     'path', ['/instances/i-1/heartbeat', '/config/replace']
 )
 @pytest.mark.parametrize('body', [b'', b'{', b'\xff', b'7', b'[' * 100_000])
-def test_message_that_cannot_be_read_is_refused(path, body):
-    assert ask(path, body)[0] == 400
+def test_unreadable_body_is_refused(path, body):
+    assert send_request(path, body)[0] == 400
 
 
 @pytest.mark.parametrize(
     'path',
     ['/', '', '/instances/', '/instances', '/instances/a/b/c', '/config'],
 )
-def test_odd_path_is_not_found_or_not_implemented(path):
-    assert ask(path)[0] in {404, 501}
+def test_unknown_path_is_not_found_or_not_implemented(path):
+    assert send_request(path)[0] in {404, 501}
--- a/mulberrywalk/platform/entry.py
+++ b/mulberrywalk/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry program on the platform: its settings and its composition."""
+"""The entry program with the platform's settings and interfaces."""
 
 from __future__ import annotations
 
@@ -14,37 +14,39 @@
 from . import caller_api, http, setting, worker_client
 
 _MS_PER_S = 1000
-_WATCH_S = 1.0
-# The part of the bound on a configuration's way that an entry may use up.
-_CURRENT_PART = 0.7
-_NOTICE_MS = 2500
+_SETTINGS_POLL_INTERVAL_S = 1.0
+# A configuration counts as current for this fraction of configApplyMs after the
+# leader last confirmed it.
+_MAX_AGE_FRACTION = 0.7
+_MAX_NOTICE_MS = 2500
+# Subtracted from the grace period, so that the process exits before its end.
 _STOP_MARGIN_MS = 1500
-_LOG = 'MULBERRYWALK_LOG_FORMAT'
+_LOG_FORMAT_VARIABLE = 'MULBERRYWALK_LOG_FORMAT'
 
 
 class PlatformExtension(program.Extension):
-    """Callers, targets and the adviser of the platform."""
+    """Serves callers and calls the workers and the adviser."""
 
     def __init__(self, path: pathlib.Path, settings: setting.Settings) -> None:
-        """Serve under settings that are watched at a path."""
+        """Set up the state; changes of the settings are read from path."""
         self._path = path
         self._settings = settings
         self._parts: program.Components | None = None
 
     def extend(
-        self, parts: program.Components, application: program.Application
+        self, components: program.Components, application: program.Application
     ) -> tuple[program.Application, tuple[str, ...]]:
-        """Serve callers beside the entry's own interface."""
-        self._parts = parts
-        answering = caller_api.CallerApi(parts)
-        own_port = int(parts.settings.listen.rpartition(':')[2])
+        """Add the platform's interface for callers and the metrics."""
+        self._parts = components
+        api = caller_api.CallerApi(components)
+        api_port = int(components.settings.listen.rpartition(':')[2])
 
         async def show_metrics(
             scope: dict[str, Any], receive: http.Receive, send: http.Send
         ) -> None:
-            await http.write_text(send, parts.metrics.show())
+            await http.write_text(send, components.metrics.show())
 
-        by_port = {own_port: application, http.METRICS_PORT: show_metrics}
+        by_port = {api_port: application, http.METRICS_PORT: show_metrics}
 
         async def serve(
             scope: dict[str, Any], receive: http.Receive, send: http.Send
@@ -53,69 +55,73 @@
                 await http.handle_lifespan(receive, send)
                 return
             port = scope['server'][1]
-            chosen = by_port.get(port, answering.serve)
-            await chosen(scope, receive, send)
+            application_for_port = by_port.get(port, api.serve)
+            await application_for_port(scope, receive, send)
 
-        bound = self._settings.bind_addrs
+        bind_addresses = self._settings.bind_addrs
         addresses = (
-            bound.front,
-            bound.readiness,
-            parts.settings.listen,
+            bind_addresses.front,
+            bind_addresses.readiness,
+            components.settings.listen,
             self._settings.metrics_address(),
         )
-        return serve, tuple(one for one in addresses if one)
+        return serve, tuple(address for address in addresses if address)
 
     async def run(self) -> None:
-        """Call targets and the adviser, and follow the settings."""
-        parts = self._parts
-        if parts is None:
-            raise AssertionError('the extension was not composed')
-        clients = worker_client.ClientPool()
-        calling = polled.PolledTargets(
-            worker_client.WorkerClient(clients, parts.event_log),
-            parts.leader,
-            parts.sessions,
-            parts.event_log,
+        """Call workers and the adviser, and watch the settings."""
+        components = self._parts
+        if components is None:
+            raise AssertionError('run was called before extend')
+        client_pool = worker_client.ClientPool()
+        polled_targets = polled.PolledTargets(
+            worker_client.WorkerClient(client_pool, components.event_log),
+            components.leader,
+            components.sessions,
+            components.event_log,
         )
-        asking = adviser.AdviceQueue(
+        advice_queue = adviser.AdviceQueue(
             worker_client.HttpAdviserClient(
-                clients, self._settings.advice or '', parts.event_log
+                client_pool, self._settings.advice or '', components.event_log
             ),
-            parts.leader,
-            parts.event_log,
+            components.leader,
+            components.event_log,
         )
         async with anyio.create_task_group() as group:
-            group.start_soon(calling.run)
-            group.start_soon(asking.run)
-            group.start_soon(watch_settings, self._path, parts)
+            group.start_soon(polled_targets.run)
+            group.start_soon(advice_queue.run)
+            group.start_soon(watch_settings, self._path, components)
 
 
-async def watch_settings(path: pathlib.Path, parts: program.Components) -> None:
-    """Add the replicas of changed settings to those that are dialled."""
-    seen = setting.modified_at_ns(path)
+async def watch_settings(
+    path: pathlib.Path, components: program.Components
+) -> None:
+    """Watch the settings file and dial the replicas that are added to it."""
+    known_at = setting.modified_at_ns(path)
     while True:
-        await anyio.sleep(_WATCH_S)
-        changed = setting.modified_at_ns(path)
-        if changed not in {seen, None}:
-            seen = changed
-            _read_again(path, parts)
+        await anyio.sleep(_SETTINGS_POLL_INTERVAL_S)
+        modified_at = setting.modified_at_ns(path)
+        if modified_at not in {known_at, None}:
+            known_at = modified_at
+            _reload_settings(path, components)
 
 
-def _read_again(path: pathlib.Path, parts: program.Components) -> None:
-    """Take over what can be read of changed settings."""
+def _reload_settings(
+    path: pathlib.Path, components: program.Components
+) -> None:
+    """Read the changed settings, skipping invalid seeds."""
     try:
         settings = setting.read(path)
     except setting.SettingsError as error:
-        parts.event_log.warn('settings refused', str(error))
+        components.event_log.warn('settings refused', str(error))
         return
-    for odd in settings.invalid_seeds():
-        parts.event_log.record('seed passed over', odd)
-    parts.leader.addresses.add(settings.seed_peer_addresses())
-    parts.event_log.record('settings read', ', '.join(settings.seeds))
+    for seed in settings.invalid_seeds():
+        components.event_log.record('invalid seed ignored', seed)
+    components.leader.addresses.add(settings.seed_peer_addresses())
+    components.event_log.record('settings read', ', '.join(settings.seeds))
 
 
 def to_entry_settings(settings: setting.Settings) -> program.Settings:
-    """Return the entry's settings."""
+    """Convert the platform's settings to those of the entry program."""
     grace_ms = int(settings.bounds.grace_s * _MS_PER_S)
     return program.Settings(
         name=settings.node_name,
@@ -123,27 +129,27 @@
         listen=settings.api_address(),
         replicas=settings.seed_peer_addresses(),
         statsd='',
-        log_format=os.environ.get(_LOG, 'json'),
-        notice_ms=min(_NOTICE_MS, grace_ms // 2),
+        log_format=os.environ.get(_LOG_FORMAT_VARIABLE, 'json'),
+        notice_ms=min(_MAX_NOTICE_MS, grace_ms // 2),
         drain_limit_ms=max(
-            0, grace_ms - _STOP_MARGIN_MS - min(_NOTICE_MS, grace_ms // 2)
+            0, grace_ms - _STOP_MARGIN_MS - min(_MAX_NOTICE_MS, grace_ms // 2)
         ),
         configuration_max_age_ms=int(
-            settings.bounds.config_apply_ms * _CURRENT_PART
+            settings.bounds.config_apply_ms * _MAX_AGE_FRACTION
         ),
     )
 
 
 def main() -> None:
-    """Run the entry under the platform's settings."""
-    # A changed settings file is noticed by its time of change.
+    """Run the entry with the platform's settings."""
+    # Changed settings are detected by the modification time of the file.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     path = setting.find_path()
     settings = setting.read(path)
-    translated = to_entry_settings(settings)
-    journal.open_log(is_json=translated.log_format == 'json')
+    program_settings = to_entry_settings(settings)
+    journal.open_log(is_json=program_settings.log_format == 'json')
     extension = PlatformExtension(path, settings)
-    anyio.run(program.serve, translated, extension, backend='asyncio')
+    anyio.run(program.serve, program_settings, extension, backend='asyncio')
 
 
 if __name__ == '__main__':
--- a/mulberrywalk/platform/http.py
+++ b/mulberrywalk/platform/http.py
@@ -1,4 +1,4 @@
-"""The shape of HTTP exchanges that the platform's interfaces share."""
+"""HTTP requests and responses over ASGI for the platform's interfaces."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import msgspec
 
-# Where every process shows its metrics, beside the ports of the settings.
+# Every process serves its metrics on this port, which is not in the settings.
 METRICS_PORT = 9464
 
 OK = 200
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """A request that was read whole; header names are in lower case."""
+    """A request with its complete body; header names are in lower case."""
 
     method: str
     path: str
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Response:
-    """An answer; the body is encoded unless it is bytes already."""
+    """A response; a body that is not bytes is encoded as JSON."""
 
     status: int
     body: Any = dataclasses.field(default_factory=dict)
@@ -48,23 +48,27 @@
 
 
 class BodyTooLargeError(Exception):
-    """The body of a request exceeds what is taken."""
+    """The body of a request exceeds the limit."""
 
 
 async def read_request(
     scope: dict[str, Any], receive: Receive, limit: int
 ) -> Request:
-    """Return the request; raises BodyTooLargeError beyond limit bytes."""
+    """Read a request.
+
+    Raises BodyTooLargeError if the body exceeds limit bytes, and
+    ConnectionError if the client disconnects.
+    """
     chunks: list[bytes] = []
     size = 0
-    is_more = True
-    while is_more:
+    has_more = True
+    while has_more:
         message = await receive()
         if message['type'] == 'http.disconnect':
-            raise ConnectionError('the caller has left')
+            raise ConnectionError('the client disconnected')
         chunks.append(message.get('body', b''))
         size += len(chunks[-1])
-        is_more = message.get('more_body', False)
+        has_more = message.get('more_body', False)
         if size > limit:
             raise BodyTooLargeError
     return Request(
@@ -79,7 +83,7 @@
 
 
 async def write_response(send: Send, response: Response) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     body = response.body
     if not isinstance(body, bytes):
         body = msgspec.json.encode(body)
@@ -102,7 +106,7 @@
 
 
 async def write_text(send: Send, text: str) -> None:
-    """Send a page of plain text."""
+    """Send a plain-text response."""
     await send(
         {
             'type': 'http.response.start',
@@ -114,7 +118,7 @@
 
 
 async def handle_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop; there is nothing to do."""
+    """Acknowledge the lifespan events of the server."""
     while True:
         message = await receive()
         await send({'type': f'{message["type"]}.complete'})
--- a/mulberrywalk/platform/replica.py
+++ b/mulberrywalk/platform/replica.py
@@ -1,4 +1,4 @@
-"""The replica program on the platform: its settings and its composition."""
+"""The replica program with the platform's settings and interfaces."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 _REPAIR_AFTER_MS = 3000
 _SNAPSHOT_ENTRIES = 1500
-# How much shorter than the longest one that is granted a lease is.
-# Long enough for the loss of all replicas at once and their way back, short
-# enough that what a lost target held is soon run again.
-_LEASE_PART = 0.55
-_LOG = 'MULBERRYWALK_LOG_FORMAT'
+# The lease as a fraction of maxHoldMs. It is long enough for all replicas to
+# fail at once and restart, and short enough that the tasks of a lost worker are
+# soon run again.
+_LEASE_FRACTION = 0.55
+_LOG_FORMAT_VARIABLE = 'MULBERRYWALK_LOG_FORMAT'
 
 
 class PlatformExtension(program.Extension):
-    """Workers and operators of the platform."""
+    """Serves the platform's workers and operators."""
 
     def __init__(self, settings: setting.Settings) -> None:
-        """Serve where the settings say."""
+        """Use the addresses and time limits in the settings."""
         self._settings = settings
 
-    async def run(self, parts: program.ReplicaComponents) -> None:
-        """Serve until it is cancelled."""
+    async def run(self, components: program.ReplicaComponents) -> None:
+        """Serve the control interface and the metrics until cancelled."""
         address = self._settings.bind_addrs.control
-        lease_ms = int(self._settings.bounds.max_hold_ms * _LEASE_PART)
-        answering = control_api.ControlApi(parts, address, lease_ms)
+        lease_ms = int(self._settings.bounds.max_hold_ms * _LEASE_FRACTION)
+        api = control_api.ControlApi(components, address, lease_ms)
 
         async def serve(
             scope: dict[str, Any], receive: http.Receive, send: http.Send
@@ -45,9 +45,9 @@
             if scope['type'] == 'lifespan':
                 await http.handle_lifespan(receive, send)
             elif scope['server'][1] == http.METRICS_PORT:
-                await http.write_text(send, parts.metrics.show())
+                await http.write_text(send, components.metrics.show())
             elif scope['type'] == 'http':
-                await answering.serve(scope, receive, send)
+                await api.serve(scope, receive, send)
 
         config = hypercorn_config.Config()
         config.bind = [address, self._settings.metrics_address()]
@@ -62,10 +62,10 @@
 
 
 def bootstrap_cell(settings: setting.Settings, folder: pathlib.Path) -> None:
-    """Found the cell when the system first starts and this is a seed.
+    """Create the cell on the first start if this replica is a seed.
 
-    All seeds are told the same list, so that they found the same cell. What
-    is on a disk already is left as it is.
+    All seeds have the same list of seeds, so that they create the same cell.
+    A folder that is not empty is left unchanged.
     """
     hosts = settings.seed_hosts()
     folder.mkdir(parents=True, exist_ok=True)
@@ -91,7 +91,7 @@
 def to_replica_settings(
     settings: setting.Settings, folder: pathlib.Path
 ) -> program.Settings:
-    """Return the replica's settings."""
+    """Convert the platform's settings to those of the replica program."""
     return program.Settings(
         name=f'replica-{settings.ip}',
         data_centre=settings.zone,
@@ -100,7 +100,7 @@
         folder=folder,
         replicas=settings.seed_peer_addresses(),
         statsd='',
-        log_format=os.environ.get(_LOG, 'json'),
+        log_format=os.environ.get(_LOG_FORMAT_VARIABLE, 'json'),
         policy=leader.MembershipPolicy(
             voters=2 * settings.fault_tolerance.machines + 1,
             repair_after_ms=_REPAIR_AFTER_MS,
@@ -110,16 +110,16 @@
 
 
 def main() -> None:
-    """Run the replica under the platform's settings."""
-    # A changed settings file is read by those who need it, at their time.
+    """Run the replica with the platform's settings."""
+    # SIGHUP announces changed settings; the replica does not reload them.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     settings = setting.read(setting.find_path())
     folder = pathlib.Path(settings.data_dir or '')
     bootstrap_cell(settings, folder)
-    translated = to_replica_settings(settings, folder)
-    journal.open_log(is_json=translated.log_format == 'json')
+    program_settings = to_replica_settings(settings, folder)
+    journal.open_log(is_json=program_settings.log_format == 'json')
     extension = PlatformExtension(settings)
-    anyio.run(program.serve, translated, extension, backend='asyncio')
+    anyio.run(program.serve, program_settings, extension, backend='asyncio')
 
 
 if __name__ == '__main__':
--- a/mulberrywalk/platform/setting.py
+++ b/mulberrywalk/platform/setting.py
@@ -8,17 +8,17 @@
 import msgspec
 
 from ..transport import reading
-from . import http, validation
+from . import bound, http
 
 PATH_VARIABLE = 'MULBERRYWALK_CONFIG'
 
 
 class SettingsError(Exception):
-    """Settings that cannot be read; the text says where."""
+    """The settings cannot be read; the message says why."""
 
 
 class BindAddresses(msgspec.Struct, frozen=True):
-    """Where a process serves; empty for what it does not serve."""
+    """Listen addresses; empty for an interface that is not served."""
 
     front: str = ''
     readiness: str = ''
@@ -26,13 +26,13 @@
 
 
 class FaultTolerance(msgspec.Struct, frozen=True):
-    """What may be lost at the same time."""
+    """The simultaneous failures that the system must tolerate."""
 
     machines: int = 1
 
 
 class Bounds(msgspec.Struct, frozen=True, rename='camel'):
-    """Times that the users' rules bound; the names say the unit."""
+    """Time limits set by the users; the unit is part of each name."""
 
     config_apply_ms: int = 2000
     max_hold_ms: int = 10000
@@ -42,15 +42,15 @@
 
 
 class Settings(msgspec.Struct, frozen=True, rename='camel'):
-    """What the platform tells a process; unknown fields are ignored.
+    """Settings that the platform provides; unknown fields are ignored.
 
-    seeds are addresses of interfaces for operators and targets.
+    seeds are addresses of control interfaces, for operators and workers.
     """
 
     node_name: str
     ip: str
     zone: str
-    internal_ports: tuple[validation.Port, validation.Port]
+    internal_ports: tuple[bound.Port, bound.Port]
     seeds: tuple[str, ...]
     bind_addrs: BindAddresses = BindAddresses()
     bootstrap: bool = False
@@ -60,34 +60,32 @@
     advice: str | None = None
 
     def peer_address(self) -> str:
-        """Return where this process talks to others of the system."""
+        """Return this process's address for other processes of the system."""
         return f'{self.ip}:{self.internal_ports[0]}'
 
     def api_address(self) -> str:
-        """Return where this process serves its own interface and metrics."""
+        """Return the address of the entry's HTTP API."""
         port = self.internal_ports[0] + 1
         return f'{self.ip}:{port}'
 
     def metrics_address(self) -> str:
-        """Return where this process shows its metrics."""
+        """Return the address at which this process serves its metrics."""
         return f'{self.ip}:{http.METRICS_PORT}'
 
     def seed_hosts(self) -> tuple[str, ...]:
-        """Return the hosts of the seeds, those that are no address left out."""
+        """Return the hosts of all seeds that are valid addresses."""
         return tuple(
             seed.rpartition(':')[0]
             for seed in self.seeds
-            if validation.is_address(seed)
+            if bound.is_address(seed)
         )
 
     def invalid_seeds(self) -> tuple[str, ...]:
-        """Return the seeds that are no address."""
-        return tuple(
-            one for one in self.seeds if not validation.is_address(one)
-        )
+        """Return the seeds that are not valid addresses."""
+        return tuple(seed for seed in self.seeds if not bound.is_address(seed))
 
     def seed_peer_addresses(self) -> tuple[str, ...]:
-        """Return where the replicas named as seeds talk to others."""
+        """Return the addresses of the seed replicas for other processes."""
         port = self.internal_ports[0]
         return tuple(f'{host}:{port}' for host in self.seed_hosts())
 
@@ -98,7 +96,7 @@
 
 
 def read(path: pathlib.Path) -> Settings:
-    """Read the settings; raises SettingsError when that cannot be done."""
+    """Read the settings; raises SettingsError if they are unreadable."""
     try:
         encoded = path.read_bytes()
     except OSError as error:
@@ -108,9 +106,9 @@
 
 
 def modified_at_ns(path: pathlib.Path) -> int | None:
-    """Return when the settings were changed, in nanoseconds since 1970.
+    """Return the modification time of the file, in nanoseconds since 1970.
 
-    None while the file is not there: it may be about to be replaced.
+    Returns None if the file is missing, as it may be during a replacement.
     """
     try:
         return path.stat().st_mtime_ns
--- a/mulberrywalk/platform/setting_test.py
+++ b/mulberrywalk/platform/setting_test.py
@@ -1,4 +1,4 @@
-"""Settings that change while a process runs, and may be odd."""
+"""Settings that change at run time, including unreadable ones."""
 
 import json
 import os
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from ..entry import upstream as links
+from ..entry import upstream as entry_upstream
 from ..telemetry import cost, journal
 from . import entry, setting
 
@@ -21,13 +21,20 @@
         'advice': '10.0.0.1:90',
     }
 )
-DEEP = b'[' * 100_000 + b']' * 100_000
-ODD = (
+DEEPLY_NESTED = b'[' * 100_000 + b']' * 100_000
+UNREADABLE = (
     b'',
     b'{',
     b'\xff\xfe',
     b'[]',
-    b''.join((json.dumps(dict(SETTINGS))[:-1].encode(), b', "o":', DEEP, b'}')),
+    b''.join(
+        (
+            json.dumps(dict(SETTINGS))[:-1].encode(),
+            b', "o":',
+            DEEPLY_NESTED,
+            b'}',
+        )
+    ),
     json.dumps({**SETTINGS, 'internalPorts': [10**40, 1]}).encode(),
     json.dumps({**SETTINGS, 'internalPorts': [70_000, 70_001]}).encode(),
     json.dumps({**SETTINGS, 'seeds': [7]}).encode(),
@@ -35,12 +42,14 @@
 )
 
 
-class Parts:
-    """What the entry is composed with."""
+class FakeComponents:
+    """The components that the settings watcher uses."""
 
     def __init__(self):
         self.event_log = journal.Journal(journal.Origin('e', 'd'))
-        self.leader = links.Upstream(('10.0.0.1:7000',), self.event_log, METER)
+        self.leader = entry_upstream.Upstream(
+            ('10.0.0.1:7000',), self.event_log, METER
+        )
 
 
 METER = cost.Meter()
@@ -48,61 +57,61 @@
 
 @pytest.fixture
 def path(tmp_path, monkeypatch):
-    monkeypatch.setattr(entry, '_WATCH_S', 0.001)
-    written = tmp_path / 'settings.json'
-    written.write_text(json.dumps(dict(SETTINGS)))
-    return written
+    monkeypatch.setattr(entry, '_SETTINGS_POLL_INTERVAL_S', 0.001)
+    settings_path = tmp_path / 'settings.json'
+    settings_path.write_text(json.dumps(dict(SETTINGS)))
+    return settings_path
 
 
-def change(path, body):
-    """Write the file, at a time of change of its own, or remove it."""
+def write_settings(path, body):
+    """Write the file with a new modification time; None removes it."""
     if body is None:
         path.unlink()
         return
-    stamp = path.stat().st_mtime_ns if path.exists() else 0
+    modified_at_ns = path.stat().st_mtime_ns if path.exists() else 0
     path.write_bytes(body)
-    os.utime(path, ns=(stamp + 10**9, stamp + 10**9))
+    os.utime(path, ns=(modified_at_ns + 10**9, modified_at_ns + 10**9))
 
 
-def watch(path, *changes):
-    """Return the known addresses after the changes; None removes the file."""
-    parts = Parts()
+def watch_changes(path, *changes):
+    """Return the replica addresses after the changes; None removes the file."""
+    components = FakeComponents()
 
     async def run():
         async with anyio.create_task_group() as group:
-            group.start_soon(entry.watch_settings, path, parts)
+            group.start_soon(entry.watch_settings, path, components)
             await anyio.sleep(0.02)
             for body in changes:
-                change(path, body)
+                write_settings(path, body)
                 await anyio.sleep(0.02)
             group.cancel_scope.cancel()
 
     anyio.run(run)
-    return parts.leader.addresses.all()
+    return components.leader.addresses.all()
 
 
-@pytest.mark.parametrize('body', ODD)
-def test_odd_settings_are_passed_over_and_later_ones_read(path, body):
-    fresh = {**SETTINGS, 'seeds': ['10.0.0.3:80']}
-    known = watch(path, body, json.dumps(fresh).encode())
+@pytest.mark.parametrize('body', UNREADABLE)
+def test_unreadable_settings_are_ignored_until_replaced(path, body):
+    valid = {**SETTINGS, 'seeds': ['10.0.0.3:80']}
+    known = watch_changes(path, body, json.dumps(valid).encode())
     assert known == ['10.0.0.3:7000', '10.0.0.1:7000']
 
 
-def test_settings_that_are_away_for_a_moment_end_nothing(path):
-    fresh = {**SETTINGS, 'seeds': ['10.0.0.3:80']}
-    known = watch(path, None, json.dumps(fresh).encode())
+def test_watch_continues_while_file_is_missing(path):
+    valid = {**SETTINGS, 'seeds': ['10.0.0.3:80']}
+    known = watch_changes(path, None, json.dumps(valid).encode())
     assert known == ['10.0.0.3:7000', '10.0.0.1:7000']
 
 
-def test_seed_that_is_no_address_is_passed_over_and_its_neighbours_read(path):
-    odd = ['', 'x', '10.0.0.4:99999999', '10.0.0.5:80', ':80', '[:1']
-    fresh = {**SETTINGS, 'seeds': odd}
-    known = watch(path, json.dumps(fresh).encode())
+def test_invalid_seed_is_ignored_and_valid_ones_are_read(path):
+    seeds = ['', 'x', '10.0.0.4:99999999', '10.0.0.5:80', ':80', '[:1']
+    valid = {**SETTINGS, 'seeds': seeds}
+    known = watch_changes(path, json.dumps(valid).encode())
     assert known == ['10.0.0.5:7000', '10.0.0.1:7000']
 
 
-@pytest.mark.parametrize('body', ODD)
-def test_odd_settings_raise_one_error(path, body):
+@pytest.mark.parametrize('body', UNREADABLE)
+def test_unreadable_settings_raise_settings_error(path, body):
     path.write_bytes(body)
     with pytest.raises(setting.SettingsError):
         setting.read(path)
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -1,4 +1,4 @@
-"""The platform's messages, each decoded once into the product's records."""
+"""Converts the platform's messages to the scheduler's records."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 from ..entry import target_client
 from ..replica import registry
 from ..transport import reading
-from . import validation
+from . import bound
 
 _PERCENT = 100
 _US_PER_MS = 1000
 _BYTES_PER_MIB = 1_048_576
-# Targets of the platform have no slots: other resources bound their tasks.
-_SLOTS = 100_000
+# Workers have no slots: other resources limit their tasks.
+_UNLIMITED_SLOTS = 100_000
 _URGENCIES = tuple(job.Urgency)
-# The place of the rough figure in a row of what runs.
-_GAUGE = 4
+# Position of the gauge in a row of a running attempt.
+_GAUGE_INDEX = 4
 _READY = 'ready'
 _DRAINING = 'draining'
 
 
 class WireError(Exception):
-    """A message that does not fit; the text says where."""
+    """A message is invalid; the error text says why."""
 
 
-class AdviceSettings(msgspec.Struct, frozen=True, rename='camel'):
-    """What an answer of a queue's adviser costs."""
+class AdviserSettings(msgspec.Struct, frozen=True, rename='camel'):
+    """The duration and validity of replies from a queue's adviser."""
 
-    decision_ms: validation.Duration = 0
-    per_worker_ms: validation.Duration = 0
-    valid_ms: validation.Duration = 0
+    decision_ms: bound.Duration = 0
+    per_worker_ms: bound.Duration = 0
+    valid_ms: bound.Duration = 0
 
 
 class Route(msgspec.Struct, frozen=True, rename='camel'):
-    """A queue; service names the pool of its workers."""
+    """A queue; service is the pool of its workers."""
 
     name: str
     host: str
     path_prefix: str
     service: str
-    timeout_ms: validation.Duration
-    target_latency_ms: validation.Duration = 0
+    timeout_ms: bound.Duration
+    target_latency_ms: bound.Duration = 0
     priority: int = 0
-    max_attempts: validation.Count = 0
-    slack_factor: validation.Factor = 1
-    advice: AdviceSettings | None = None
+    max_attempts: bound.Count = 0
+    slack_factor: bound.Factor = 1
+    advice: AdviserSettings | None = None
 
 
 class Service(msgspec.Struct, frozen=True):
@@ -60,15 +60,15 @@
 
 
 class Limits(msgspec.Struct, frozen=True, rename='camel'):
-    """Limits of callers' requests."""
+    """Limits on requests of callers."""
 
-    max_body_bytes: validation.Count = 0
+    max_body_bytes: bound.Count = 0
 
 
 class Configuration(msgspec.Struct, frozen=True):
-    """A complete configuration under the operator's version."""
+    """A complete configuration; version is chosen by the operator."""
 
-    version: validation.Integer
+    version: bound.Integer
     routes: tuple[Route, ...]
     services: tuple[Service, ...]
     limits: Limits = Limits()
@@ -77,90 +77,90 @@
 class Phase(msgspec.Struct, frozen=True, rename='camel'):
     """One step of a job; cpu is in thousandths of a core."""
 
-    count: validation.Count
-    cpu: validation.Millicores = 0
-    mem_mb: validation.Mebibytes = 0
-    gpu: validation.Accelerators = 0
-    estimate_ms: validation.Duration = 0
-    after: tuple[validation.Count, ...] = ()
+    count: bound.Count
+    cpu: bound.Millicores = 0
+    mem_mb: bound.Mebibytes = 0
+    gpu: bound.Accelerators = 0
+    estimate_ms: bound.Duration = 0
+    after: tuple[bound.Count, ...] = ()
     checkpointing: bool = False
     gang: bool = False
     rack_local: bool = False
     constraints: str = ''
     data_rack: str = ''
-    anti_affinity: validation.Count = 0
+    anti_affinity: bound.Count = 0
     speculative: bool = False
     long_running: bool = False
     image: str = ''
-    target_ms: validation.Duration = 0
+    target_ms: bound.Duration = 0
     fills: bool = False
-    may_miss: validation.Count = 0
+    may_miss: bound.Count = 0
 
 
 class Job(msgspec.Struct, frozen=True, rename='camel'):
-    """A job as a caller hands it in; phases are its steps."""
+    """A job as submitted by a caller; phases are its steps."""
 
     phases: tuple[Phase, ...]
     spec: str = ''
-    repeat_count: validation.Integer = 0
-    interval_ms: validation.SignedDuration = 0
-    first_ms: validation.SignedDuration = 0
+    repeat_count: bound.Integer = 0
+    interval_ms: bound.SignedDuration = 0
+    first_ms: bound.SignedDuration = 0
 
 
 class Capacity(msgspec.Struct, frozen=True, rename='camel'):
-    """What a worker holds; cpu is in thousandths of a core."""
+    """The resources of a worker; cpu is in thousandths of a core."""
 
-    cpu: validation.Millicores
-    mem_mb: validation.Mebibytes
-    gpu: validation.Accelerators = 0
+    cpu: bound.Millicores
+    mem_mb: bound.Mebibytes
+    gpu: bound.Accelerators = 0
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """What a worker says of itself; labels end with its rack."""
+    """The state that a worker reports; its last label is its rack."""
 
-    service: validation.Text
-    address: validation.Text
-    zone: validation.Text
+    service: bound.Text
+    address: bound.Text
+    zone: bound.Text
     state: str
     capacity: Capacity
-    seq: validation.Count
-    born: validation.Timestamp
-    labels: validation.Labels = ()
-    # Told while the worker drains: the least time that it stays.
-    remaining_ms: validation.SignedDuration | None = msgspec.field(
+    seq: bound.Count
+    born: bound.Timestamp
+    labels: bound.Labels = ()
+    # Set while the worker drains: how long it stays at least.
+    remaining_ms: bound.SignedDuration | None = msgspec.field(
         name='remainingMs', default=None
     )
 
 
 class Listing(msgspec.Struct, frozen=True, rename='camel'):
-    """What runs on a worker and what has ended there."""
+    """The running and the ended attempts of a worker."""
 
-    clock_ms: validation.Duration
-    born: validation.Count
-    running: validation.Rows = ()
-    finished: validation.Rows = ()
+    clock_ms: bound.Duration
+    born: bound.Count
+    running: bound.Rows = ()
+    finished: bound.Rows = ()
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a worker refuses an order."""
+    """The reason for which a worker refuses a command."""
 
     reason: str = ''
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """Leave of the adviser for one worker."""
+    """The adviser's permission to run a step on one worker."""
 
     id: str
     ticket: str
 
 
 class AdviceReply(msgspec.Struct, frozen=True):
-    """The workers that may run a step: rows of id and ticket."""
+    """The workers that may run a step, each with its ticket."""
 
     allowed: tuple[tuple[str, str] | Ticket, ...]
 
 
-_ENDS = MappingProxyType(
+_END_REASONS = MappingProxyType(
     {
         'done': job.EndReason.COMPLETED,
         'failed': job.EndReason.FAILED,
@@ -170,7 +170,7 @@
         'alone': job.EndReason.GANG_INCOMPLETE,
     }
 )
-_REFUSALS = MappingProxyType(
+_REFUSAL_RESULTS = MappingProxyType(
     {
         'fence': target_client.CallResult.FENCED,
         'old': target_client.CallResult.BARRED,
@@ -180,26 +180,26 @@
     }
 )
 
-_configurations = msgspec.json.Decoder(Configuration)
-_jobs = msgspec.json.Decoder(Job)
-_heartbeats = msgspec.json.Decoder(Heartbeat)
-_listings = msgspec.json.Decoder(Listing)
-_refusals = msgspec.json.Decoder(Refusal)
-_advised = msgspec.json.Decoder(AdviceReply)
+_configuration_decoder = msgspec.json.Decoder(Configuration)
+_job_decoder = msgspec.json.Decoder(Job)
+_heartbeat_decoder = msgspec.json.Decoder(Heartbeat)
+_listing_decoder = msgspec.json.Decoder(Listing)
+_refusal_decoder = msgspec.json.Decoder(Refusal)
+_advice_decoder = msgspec.json.Decoder(AdviceReply)
 
 
 def read_routing(body: bytes) -> configuration.Routing:
-    """Return the routing of a configuration; raises WireError."""
+    """Decode the routing of a configuration; raises WireError."""
     with reading.refused_as(WireError):
-        read = _configurations.decode(body)
+        decoded = _configuration_decoder.decode(body)
         return configuration.Routing(
-            version=read.version,
-            queues=tuple(_queue_of(route) for route in read.routes),
+            version=decoded.version,
+            queues=tuple(_to_queue(route) for route in decoded.routes),
             pools=tuple(
-                configuration.PoolSettings(one.name, one.standby)
-                for one in read.services
+                configuration.PoolSettings(service.name, service.standby)
+                for service in decoded.services
             ),
-            max_body_bytes=read.limits.max_body_bytes,
+            max_body_bytes=decoded.limits.max_body_bytes,
             source=body.decode(),
         )
 
@@ -207,10 +207,10 @@
 def read_job(
     body: bytes, name: str, queue: configuration.Queue
 ) -> job.Specification:
-    """Return the specification of a job for a queue; raises WireError."""
+    """Decode the specification of a job in a queue; raises WireError."""
     with reading.refused_as(WireError):
-        read = _jobs.decode(body)
-        steps = tuple(_step_of(phase) for phase in read.phases)
+        decoded = _job_decoder.decode(body)
+        steps = tuple(_to_step(phase) for phase in decoded.phases)
         fields = {
             'request_id': name,
             'team': queue.pool,
@@ -218,151 +218,159 @@
             'steps': msgspec.to_builtins(steps),
             'job': name,
             'queue': queue.name,
-            'payload': read.spec,
-            'recurrence': _recurrence_of(read),
+            'payload': decoded.spec,
+            'recurrence': _to_recurrence(decoded),
         }
         return msgspec.convert(fields, job.Specification)
 
 
 def submission_digest(body: bytes) -> str:
-    """Return a digest that tells one submission from another."""
+    """Return a digest that identifies the content of a submission."""
     return hashlib.sha256(body).hexdigest()
 
 
 def read_heartbeat(
     name: str, body: bytes, lease_ms: int
 ) -> registry.TargetHeartbeat:
-    """Return what a worker says of itself; raises WireError."""
+    """Decode the heartbeat of a worker; raises WireError."""
     with reading.refused_as(WireError):
-        return _sighting_of(name, _heartbeats.decode(body), lease_ms)
+        return _to_target_heartbeat(
+            name, _heartbeat_decoder.decode(body), lease_ms
+        )
 
 
-def _sighting_of(
-    name: str, read: Heartbeat, lease_ms: int
+def _to_target_heartbeat(
+    name: str, decoded: Heartbeat, lease_ms: int
 ) -> registry.TargetHeartbeat:
-    if read.state not in {_READY, _DRAINING}:
+    if decoded.state not in {_READY, _DRAINING}:
         raise WireError('the state is not known')
-    if not validation.is_address(read.address):
+    if not bound.is_address(decoded.address):
         raise WireError('the address is not IPv4:port')
-    if not validation.is_worker_id(name):
+    if not bound.is_worker_id(name):
         raise WireError('the id is not of printable characters')
-    rack = read.labels[-1] if read.labels else ''
+    rack = decoded.labels[-1] if decoded.labels else ''
     announcement = event.Announcement(
         target=identity.TargetId(name),
-        data_centre=identity.DataCentre(read.zone),
+        data_centre=identity.DataCentre(decoded.zone),
         rack=identity.Rack(rack),
         capacity=resource.Resources(
-            int(read.capacity.cpu),
-            int(read.capacity.mem_mb * _BYTES_PER_MIB),
-            read.capacity.gpu,
-            _SLOTS,
+            int(decoded.capacity.cpu),
+            int(decoded.capacity.mem_mb * _BYTES_PER_MIB),
+            decoded.capacity.gpu,
+            _UNLIMITED_SLOTS,
         ),
-        nonce=str(read.born),
-        pool=identity.Pool(read.service),
-        labels=read.labels,
-        address=read.address,
-        born_at=read.born,
+        nonce=str(decoded.born),
+        pool=identity.Pool(decoded.service),
+        labels=decoded.labels,
+        address=decoded.address,
+        born_at=decoded.born,
         lease_ms=lease_ms,
     )
     return registry.TargetHeartbeat(
         announcement,
-        read.seq,
-        is_leaving=read.state == _DRAINING,
-        remaining_ms=_whole_ms(read.remaining_ms),
+        decoded.seq,
+        is_leaving=decoded.state == _DRAINING,
+        remaining_ms=_to_remaining_ms(decoded.remaining_ms),
     )
 
 
-def _whole_ms(told: float | None) -> int | None:
-    return None if told is None else max(0, int(told))
+def _to_remaining_ms(remaining_ms: float | None) -> int | None:
+    return None if remaining_ms is None else max(0, int(remaining_ms))
 
 
 def read_listing(body: bytes) -> target_client.PollResult:
-    """Return what a worker lists; raises WireError."""
+    """Decode the listing of a worker; raises WireError."""
     with reading.refused_as(WireError):
-        read = _listings.decode(body)
-        running = tuple(_running_of(row) for row in read.running)
-        ended = tuple(_ended_of(row) for row in read.finished)
+        decoded = _listing_decoder.decode(body)
+        running = tuple(_to_running_attempt(row) for row in decoded.running)
+        ended = tuple(_to_ended_attempt(row) for row in decoded.finished)
         return target_client.PollResult(
-            int(read.clock_ms), read.born, running, ended
+            int(decoded.clock_ms), decoded.born, running, ended
         )
 
 
 def read_refusal(body: bytes) -> target_client.CallResult:
-    """Return why a worker refuses an order."""
+    """Decode the reason of a refusal, or return INVALID."""
     try:
         with reading.refused_as(WireError):
-            read = _refusals.decode(body)
+            decoded = _refusal_decoder.decode(body)
     except WireError:
         return target_client.CallResult.INVALID
-    return _REFUSALS.get(read.reason, target_client.CallResult.INVALID)
+    return _REFUSAL_RESULTS.get(
+        decoded.reason, target_client.CallResult.INVALID
+    )
 
 
 def read_tickets(body: bytes) -> tuple[tuple[identity.TargetId, str], ...]:
-    """Return the workers that the adviser allows; raises WireError."""
+    """Decode the allowed workers and their tickets; raises WireError."""
     with reading.refused_as(WireError):
-        read = _advised.decode(body)
+        decoded = _advice_decoder.decode(body)
     rows = (
         (row.id, row.ticket) if isinstance(row, Ticket) else row
-        for row in read.allowed
+        for row in decoded.allowed
     )
     return tuple((identity.TargetId(name), ticket) for name, ticket in rows)
 
 
 def split_attempt_id(attempt: identity.AttemptId) -> tuple[str, int]:
-    """Return the task and the run that the platform knows an attempt by."""
+    """Return the task and the run number that make up an attempt id."""
     task, _, run = attempt.rpartition('/')
     return task, int(run)
 
 
-def _attempt_of(task: object, run: object) -> identity.AttemptId:
-    if not validation.is_task_name(task) or not validation.is_count(run):
-        raise WireError('a row names no run of a task')
+def _to_attempt_id(task: object, run: object) -> identity.AttemptId:
+    if not bound.is_task_name(task) or not bound.is_count(run):
+        raise WireError('a row has no valid task and run')
     return identity.AttemptId(f'{task}/{run}')
 
 
-def _saved_of(told: object) -> str:
-    saved = '' if told is None else told
+def _to_checkpoint(field: object) -> str:
+    checkpoint = '' if field is None else field
     if (
-        not isinstance(saved, str)
-        or len(saved) > validation.MAX_CHECKPOINT_LENGTH
+        not isinstance(checkpoint, str)
+        or len(checkpoint) > bound.MAX_CHECKPOINT_LENGTH
     ):
-        raise WireError('what a row says was saved is no text, or too long')
-    return saved
+        raise WireError(
+            'the checkpoint in a row is not a string, or is too long'
+        )
+    return checkpoint
 
 
-def _running_of(row: tuple[object, ...]) -> target_client.RunningAttempt:
-    """Return what a row of runs says: task, run, saved, percent, gauge.
+def _to_running_attempt(
+    row: tuple[object, ...],
+) -> target_client.RunningAttempt:
+    """Convert a row of task, run, checkpoint, percent and gauge.
 
-    A gauge that is no number from zero on counts as zero.
+    A gauge that is missing, negative or not a number counts as zero.
     """
-    gauge = row[_GAUGE] if len(row) > _GAUGE else 0
+    gauge = row[_GAUGE_INDEX] if len(row) > _GAUGE_INDEX else 0
     return target_client.RunningAttempt(
-        _attempt_of(row[0], row[1]), _saved_of(row[2]), _reading_of(gauge)
+        _to_attempt_id(row[0], row[1]), _to_checkpoint(row[2]), _to_gauge(gauge)
     )
 
 
-def _reading_of(gauge: object) -> int:
+def _to_gauge(gauge: object) -> int:
     if not isinstance(gauge, int | float) or isinstance(gauge, bool):
         return 0
-    return round(gauge) if 0 <= gauge <= validation.MAX_TIME_MS else 0
+    return round(gauge) if 0 <= gauge <= bound.MAX_TIME_MS else 0
 
 
-def _ended_of(row: tuple[object, ...]) -> target_client.EndedAttempt:
-    """Return what a row of ends says: number, task, run, how, saved."""
+def _to_ended_attempt(row: tuple[object, ...]) -> target_client.EndedAttempt:
+    """Convert a row of number, task, run, end reason and checkpoint."""
     number = row[0]
-    if not validation.is_count(number):
-        raise WireError('an end is not numbered')
-    reason = _ENDS.get(str(row[3]))
+    if not bound.is_count(number):
+        raise WireError('an ended attempt has no valid number')
+    reason = _END_REASONS.get(str(row[3]))
     if reason is None:
-        raise WireError('how an attempt has ended is not known')
-    attempt = _attempt_of(row[1], row[2])
+        raise WireError('an ended attempt has an unknown reason')
+    attempt = _to_attempt_id(row[1], row[2])
     return target_client.EndedAttempt(
-        number, attempt, reason, _saved_of(row[4])
+        number, attempt, reason, _to_checkpoint(row[4])
     )
 
 
-def _queue_of(route: Route) -> configuration.Queue:
-    """Return a queue whose terms a job can take over, at most the longest."""
+def _to_queue(route: Route) -> configuration.Queue:
+    """Convert a route, limiting its settings to what a job may have."""
     urgency = _URGENCIES[min(max(route.priority, 0), len(_URGENCIES) - 1)]
     return configuration.Queue(
         name=route.name,
@@ -374,11 +382,13 @@
         objective_ms=min(int(route.target_latency_ms), job.MAX_RUN_MS),
         slack_percent=min(round(route.slack_factor * _PERCENT), job.MAX_TASKS),
         max_failures=min(route.max_attempts, job.MAX_TASKS),
-        advice=_terms_of(route.advice),
+        advice=_to_advice_settings(route.advice),
     )
 
 
-def _terms_of(advice: AdviceSettings | None) -> job.AdviceSettings | None:
+def _to_advice_settings(
+    advice: AdviserSettings | None,
+) -> job.AdviceSettings | None:
     if advice is None or not advice.valid_ms:
         return None
     per_worker_us = int(advice.per_worker_ms * _US_PER_MS)
@@ -389,7 +399,7 @@
     )
 
 
-def _step_of(phase: Phase) -> job.StepSpecification:
+def _to_step(phase: Phase) -> job.StepSpecification:
     return job.StepSpecification(
         count=phase.count,
         millicores=int(phase.cpu),
@@ -412,11 +422,11 @@
     )
 
 
-def _recurrence_of(read: Job) -> dict[str, int] | None:
-    if read.repeat_count <= 0:
+def _to_recurrence(decoded: Job) -> dict[str, int] | None:
+    if decoded.repeat_count <= 0:
         return None
     return {
-        'first_at': int(read.first_ms),
-        'interval_ms': int(read.interval_ms),
-        'count': read.repeat_count,
+        'first_at': int(decoded.first_ms),
+        'interval_ms': int(decoded.interval_ms),
+        'count': decoded.repeat_count,
     }
--- a/mulberrywalk/platform/wire_test.py
+++ b/mulberrywalk/platform/wire_test.py
@@ -1,4 +1,4 @@
-"""The platform's messages are decoded into the product's records, or not."""
+"""Decoding of valid and invalid messages of the platform."""
 
 import json
 from types import MappingProxyType
@@ -35,7 +35,7 @@
         'advice': {'decisionMs': 44.8, 'perWorkerMs': 0.4, 'validMs': 2000},
     }
 )
-DOCUMENT = MappingProxyType(
+CONFIGURATION = MappingProxyType(
     {
         'version': 7,
         'routes': [dict(ROUTE)],
@@ -43,7 +43,7 @@
         'limits': {'maxBodyBytes': 262144},
     }
 )
-BEAT = MappingProxyType(
+HEARTBEAT = MappingProxyType(
     {
         'service': 's-1',
         'address': '10.0.0.1:80',
@@ -61,27 +61,33 @@
 )
 JOB = MappingProxyType({'phases': [{'count': 1, 'cpu': 1}]})
 MIB = 1_048_576
-DEEP = b'[' * 100_000 + b']' * 100_000
-BAD = ('{', '[]', '{"version": "x"}', '"', '{"version": 1, "routes": 1}')
+DEEPLY_NESTED = b'[' * 100_000 + b']' * 100_000
+INVALID_CONFIGURATIONS = (
+    '{',
+    '[]',
+    '{"version": "x"}',
+    '"',
+    '{"version": 1, "routes": 1}',
+)
 
 
-def encoded(fields):
+def encode_json(fields):
     return json.dumps(dict(fields)).encode()
 
 
-def queue():
-    return wire.read_routing(encoded(DOCUMENT)).queues[0]
+def read_queue():
+    return wire.read_routing(encode_json(CONFIGURATION)).queues[0]
 
 
-def test_routing_is_kept_as_it_was_sent():
-    routing = wire.read_routing(encoded(DOCUMENT))
-    assert json.loads(routing.source) == dict(DOCUMENT)
+def test_routing_keeps_source():
+    routing = wire.read_routing(encode_json(CONFIGURATION))
+    assert json.loads(routing.source) == dict(CONFIGURATION)
     assert (routing.version, routing.max_body_bytes) == (7, 262144)
     assert [one.name for one in routing.pools] == ['s-1']
 
 
 def test_routing_is_decoded_into_queues():
-    assert queue() == configuration.Queue(
+    assert read_queue() == configuration.Queue(
         name='r-1',
         host='nony24.example',
         path_prefix='/lohu930/',
@@ -95,7 +101,7 @@
     )
 
 
-@pytest.mark.parametrize('body', BAD)
+@pytest.mark.parametrize('body', INVALID_CONFIGURATIONS)
 def test_unreadable_configuration_is_refused(body):
     with pytest.raises(wire.WireError):
         wire.read_routing(body.encode())
@@ -124,8 +130,8 @@
         'firstMs': 10,
         'intervalMs': 20,
     }
-    read = wire.read_job(encoded(body), '0' * 16, queue())
-    assert read.steps == (
+    specification = wire.read_job(encode_json(body), '0' * 16, read_queue())
+    assert specification.steps == (
         job.StepSpecification(4, 500, 256 * MIB, estimate_ms=900),
         job.StepSpecification(
             2,
@@ -140,8 +146,8 @@
             latency_target_ms=90,
         ),
     )
-    assert read.recurrence == job.Recurrence(10, 20, 2)
-    assert (read.payload, read.queue) == ('text', 'r-1')
+    assert specification.recurrence == job.Recurrence(10, 20, 2)
+    assert (specification.payload, specification.queue) == ('text', 'r-1')
 
 
 @pytest.mark.parametrize(
@@ -157,38 +163,43 @@
 )
 def test_unreadable_job_is_refused(body):
     with pytest.raises(wire.WireError):
-        wire.read_job(body.encode(), '0' * 16, queue())
+        wire.read_job(body.encode(), '0' * 16, read_queue())
 
 
 def test_heartbeat_announces_a_target():
-    sighting = wire.read_heartbeat('i-1', encoded(BEAT), 8000)
-    announced = sighting.announcement
-    assert announced.target == 'i-1'
-    assert (announced.rack, announced.pool) == ('r1-3', 's-1')
-    assert (announced.born_at, announced.nonce) == (
+    heartbeat = wire.read_heartbeat('i-1', encode_json(HEARTBEAT), 8000)
+    target_announcement = heartbeat.announcement
+    assert target_announcement.target == 'i-1'
+    assert (target_announcement.rack, target_announcement.pool) == (
+        'r1-3',
+        's-1',
+    )
+    assert (target_announcement.born_at, target_announcement.nonce) == (
         1786885000998,
         '1786885000998',
     )
-    assert announced.capacity.millicores == 16000
-    assert not sighting.is_leaving
+    assert target_announcement.capacity.millicores == 16000
+    assert not heartbeat.is_leaving
 
 
-@pytest.mark.parametrize('field', sorted(set(BEAT) - {'labels', 'clockMs'}))
-def test_heartbeat_without_a_field_names_no_target(field):
-    beat = {name: text for name, text in BEAT.items() if name != field}
+@pytest.mark.parametrize(
+    'field', sorted(set(HEARTBEAT) - {'labels', 'clockMs'})
+)
+def test_heartbeat_without_required_field_is_refused(field):
+    fields = {name: text for name, text in HEARTBEAT.items() if name != field}
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat('i-1', encoded(beat), 8000)
+        wire.read_heartbeat('i-1', encode_json(fields), 8000)
 
 
 @pytest.mark.parametrize(
     'changes', [{'state': 'other'}, {'seq': 'x'}, {'capacity': 3}, {'born': ''}]
 )
-def test_heartbeat_of_another_writer_names_no_target(changes):
+def test_heartbeat_with_invalid_field_is_refused(changes):
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat('i-1', encoded({**BEAT, **changes}), 8000)
+        wire.read_heartbeat('i-1', encode_json({**HEARTBEAT, **changes}), 8000)
 
 
-def test_listing_is_decoded_with_all_its_ends():
+def test_listing_is_decoded_with_all_end_reasons():
     listing = {
         'clockMs': 482113,
         'born': 5,
@@ -200,11 +211,11 @@
             )
         ],
     }
-    seen = wire.read_listing(encoded(listing))
-    assert seen.running == (
+    poll_result = wire.read_listing(encode_json(listing))
+    assert poll_result.running == (
         target_client.RunningAttempt('j.0.1.17/2', 'saved', 300),
     )
-    assert [one.reason for one in seen.ended] == [
+    assert [one.reason for one in poll_result.ended] == [
         job.EndReason.COMPLETED,
         job.EndReason.FAILED,
         job.EndReason.STOPPED,
@@ -229,12 +240,12 @@
         wire.read_listing(body.encode())
 
 
-def test_refusals_have_their_reasons():
-    told = {
-        reason: wire.read_refusal(encoded({'clockMs': 1, 'reason': reason}))
+def test_refusal_reasons_are_converted():
+    call_results = {
+        reason: wire.read_refusal(encode_json({'clockMs': 1, 'reason': reason}))
         for reason in ('fence', 'old', 'late', 'room', 'ticket', 'odd')
     }
-    assert told == {
+    assert call_results == {
         'fence': target_client.CallResult.FENCED,
         'old': target_client.CallResult.BARRED,
         'late': target_client.CallResult.LEASE_EXPIRED,
@@ -244,67 +255,71 @@
     }
 
 
-def test_attempt_is_known_by_task_and_run():
+def test_attempt_id_is_split_into_task_and_run():
     name = identity.AttemptId('5c0e7a21d94b36f8.0.1.17/2')
     assert wire.split_attempt_id(name) == ('5c0e7a21d94b36f8.0.1.17', 2)
 
 
-def test_tickets_come_as_rows():
-    body = encoded({'allowed': [['i-1', 't1'], ['i-2', 't2']]})
+def test_tickets_are_decoded_from_rows():
+    body = encode_json({'allowed': [['i-1', 't1'], ['i-2', 't2']]})
     assert wire.read_tickets(body) == (('i-1', 't1'), ('i-2', 't2'))
 
 
-def deepen(fields):
-    """Return a message with an unknown field that is nested deeply."""
-    return b''.join((encoded(fields)[:-1], b', "other": ', DEEP, b'}'))
+def add_nested_field(fields):
+    """Return the message with an unknown field that is deeply nested."""
+    return b''.join(
+        (encode_json(fields)[:-1], b', "other": ', DEEPLY_NESTED, b'}')
+    )
 
 
 @pytest.mark.parametrize(
     ('read', 'fields'),
     [
-        (lambda body: wire.read_heartbeat('i-1', body, 1), BEAT),
+        (lambda body: wire.read_heartbeat('i-1', body, 1), HEARTBEAT),
         (wire.read_listing, LISTING),
-        (wire.read_routing, DOCUMENT),
-        (lambda body: wire.read_job(body, '0' * 16, queue()), JOB),
+        (wire.read_routing, CONFIGURATION),
+        (lambda body: wire.read_job(body, '0' * 16, read_queue()), JOB),
         (wire.read_tickets, {'allowed': []}),
     ],
 )
-def test_deeply_nested_message_is_refused_and_ends_nothing(read, fields):
-    read(encoded(fields))
+def test_deeply_nested_message_is_refused(read, fields):
+    read(encode_json(fields))
     with pytest.raises(wire.WireError):
-        read(deepen(fields))
+        read(add_nested_field(fields))
 
 
-def test_deeply_nested_refusal_is_no_answer_to_an_order():
-    told = wire.read_refusal(deepen({'reason': 'room'}))
-    assert told is target_client.CallResult.INVALID
+def test_deeply_nested_refusal_is_invalid():
+    call_result = wire.read_refusal(add_nested_field({'reason': 'room'}))
+    assert call_result is target_client.CallResult.INVALID
 
 
-ODD_NUMBERS = (-1, -1e300, 1e300, 1e308, 10**40, -(10**40), 2**63, 10**4299)
+OUT_OF_RANGE = (-1, -1e300, 1e300, 1e308, 10**40, -(10**40), 2**63, 10**4299)
 
 
-@pytest.mark.parametrize('number', ODD_NUMBERS)
+@pytest.mark.parametrize('number', OUT_OF_RANGE)
 @pytest.mark.parametrize('field', ['seq', 'born', 'cpu', 'memMb', 'gpu'])
-def test_heartbeat_with_an_amount_that_nothing_has_is_refused(field, number):
+def test_heartbeat_with_number_out_of_range_is_refused(field, number):
     changes = {field: number}
-    if field not in BEAT:
-        changes = {'capacity': {**BEAT['capacity'], field: number}}
+    if field not in HEARTBEAT:
+        changes = {'capacity': {**HEARTBEAT['capacity'], field: number}}
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat('i-1', encoded({**BEAT, **changes}), 8000)
+        wire.read_heartbeat('i-1', encode_json({**HEARTBEAT, **changes}), 8000)
 
 
-def test_time_that_is_left_can_be_written_into_the_log():
-    beat = {**BEAT, 'state': 'draining', 'remainingMs': -3.5}
-    sighting = wire.read_heartbeat('i-1', encoded(beat), 8000)
-    assert sighting.remaining_ms == 0
+def test_remaining_time_is_clamped_at_zero_and_limited():
+    fields = {**HEARTBEAT, 'state': 'draining', 'remainingMs': -3.5}
+    heartbeat = wire.read_heartbeat('i-1', encode_json(fields), 8000)
+    assert heartbeat.remaining_ms == 0
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat('i-1', encoded({**beat, 'remainingMs': 1e300}), 1)
+        wire.read_heartbeat(
+            'i-1', encode_json({**fields, 'remainingMs': 1e300}), 1
+        )
 
 
-def test_life_without_a_beginning_is_refused():
-    # A session that was born at zero is taken for one that dials in.
+def test_heartbeat_with_birth_time_zero_is_refused():
+    # Zero marks the session of a target that connects to the entry itself.
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat('i-1', encoded({**BEAT, 'born': 0}), 8000)
+        wire.read_heartbeat('i-1', encode_json({**HEARTBEAT, 'born': 0}), 8000)
 
 
 @pytest.mark.parametrize(
@@ -328,18 +343,20 @@
         'x' * 100_000,
     ],
 )
-def test_heartbeat_with_an_address_that_cannot_be_called_is_refused(address):
+def test_heartbeat_with_invalid_address_is_refused(address):
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat('i-1', encoded({**BEAT, 'address': address}), 1)
+        wire.read_heartbeat(
+            'i-1', encode_json({**HEARTBEAT, 'address': address}), 1
+        )
 
 
 @pytest.mark.parametrize('name', ['', '\xe9', 'a b', 'a\n', '\x00', 'x' * 300])
-def test_id_that_no_header_can_carry_names_no_target(name):
+def test_heartbeat_with_id_invalid_in_header_is_refused(name):
     with pytest.raises(wire.WireError):
-        wire.read_heartbeat(name, encoded(BEAT), 8000)
+        wire.read_heartbeat(name, encode_json(HEARTBEAT), 8000)
 
 
-ANYTHING = st.recursive(
+JSON_VALUES = st.recursive(
     st.none()
     | st.booleans()
     | st.integers()
@@ -353,21 +370,23 @@
 )
 
 
-@given(field=st.sampled_from(sorted(BEAT)), said=ANYTHING)
-def test_heartbeat_that_is_taken_can_be_written_and_read_again(field, said):
-    body = encoded({**BEAT, field: said})
+@given(field=st.sampled_from(sorted(HEARTBEAT)), field_value=JSON_VALUES)
+def test_accepted_heartbeat_survives_encoding(field, field_value):
+    body = encode_json({**HEARTBEAT, field: field_value})
     try:
-        sighting = wire.read_heartbeat('i-1', body, 8000)
+        heartbeat = wire.read_heartbeat('i-1', body, 8000)
     except wire.WireError:
         return
-    opened = event.SessionOpened(1, sighting.announcement)
-    written = msgspec.msgpack.encode([opened, sighting.remaining_ms])
-    kinds = tuple[event.SessionOpened, int | None]
-    assert msgspec.msgpack.decode(written, type=kinds)[0] == opened
+    session_opened = event.SessionOpened(1, heartbeat.announcement)
+    stored = msgspec.msgpack.encode([session_opened, heartbeat.remaining_ms])
+    stored_types = tuple[event.SessionOpened, int | None]
+    assert (
+        msgspec.msgpack.decode(stored, type=stored_types)[0] == session_opened
+    )
 
 
 TASK = '5c0e7a21d94b36f8.0.1.17'
-ODD_ROWS = (
+INVALID_ROWS = (
     ('running', [TASK]),
     ('running', []),
     ('running', [7, 1, '', 0, 0]),
@@ -392,80 +411,82 @@
 )
 
 
-@pytest.mark.parametrize(('field', 'row'), ODD_ROWS)
-def test_listing_with_a_row_that_names_no_run_is_refused(field, row):
+@pytest.mark.parametrize(('field', 'row'), INVALID_ROWS)
+def test_listing_with_invalid_row_is_refused(field, row):
     with pytest.raises(wire.WireError):
-        wire.read_listing(encoded({**LISTING, field: [row]}))
+        wire.read_listing(encode_json({**LISTING, field: [row]}))
 
 
-@pytest.mark.parametrize('number', ODD_NUMBERS)
+@pytest.mark.parametrize('number', OUT_OF_RANGE)
 @pytest.mark.parametrize('field', ['clockMs', 'born'])
-def test_listing_with_a_time_that_no_clock_shows_is_refused(field, number):
+def test_listing_with_time_out_of_range_is_refused(field, number):
     with pytest.raises(wire.WireError):
-        wire.read_listing(encoded({**LISTING, field: number}))
+        wire.read_listing(encode_json({**LISTING, field: number}))
 
 
-def test_listing_with_more_rows_than_a_target_runs_is_refused():
+def test_listing_with_too_many_rows_is_refused():
     rows = [[TASK, run, '', 0, 0] for run in range(20_000)]
     with pytest.raises(wire.WireError):
-        wire.read_listing(encoded({**LISTING, 'running': rows}))
+        wire.read_listing(encode_json({**LISTING, 'running': rows}))
 
 
 @pytest.mark.parametrize('gauge', [True, None, 'x', [], -5, 1e300, 10**400])
-def test_gauge_that_is_no_reading_counts_as_none(gauge):
+def test_invalid_gauge_counts_as_zero(gauge):
     row = [TASK, 1, '', 0, gauge]
-    seen = wire.read_listing(encoded({**LISTING, 'running': [row]}))
-    assert seen.running == (target_client.RunningAttempt(f'{TASK}/1', '', 0),)
+    poll_result = wire.read_listing(encode_json({**LISTING, 'running': [row]}))
+    assert poll_result.running == (
+        target_client.RunningAttempt(f'{TASK}/1', '', 0),
+    )
 
 
 @given(
     field=st.sampled_from(('running', 'finished')),
     row=st.lists(
-        st.sampled_from((TASK, 'done', '', 1, 5)) | ANYTHING, max_size=6
+        st.sampled_from((TASK, 'done', '', 1, 5)) | JSON_VALUES, max_size=6
     ),
 )
-def test_listing_that_is_taken_can_be_reported_and_answered(field, row):
+def test_attempts_of_accepted_listing_can_be_encoded(field, row):
     try:
-        seen = wire.read_listing(encoded({**LISTING, field: [row]}))
+        poll_result = wire.read_listing(encode_json({**LISTING, field: [row]}))
     except wire.WireError:
         return
-    for one in (*seen.running, *seen.ended):
+    for one in (*poll_result.running, *poll_result.ended):
         wire.split_attempt_id(one.attempt)
         numbers = getattr(one, 'number', 0), getattr(one, 'gauge', 0)
         msgspec.msgpack.encode((one.attempt, one.checkpoint, numbers))
 
 
-def configured(**changes):
-    """Return the encoded configuration with another route."""
-    return encoded({**DOCUMENT, 'routes': [{**ROUTE, **changes}]})
+def encode_configuration(**changes):
+    """Return the encoded configuration with changes to its route."""
+    return encode_json({**CONFIGURATION, 'routes': [{**ROUTE, **changes}]})
 
 
-@pytest.mark.parametrize('number', [*ODD_NUMBERS, -5])
+@pytest.mark.parametrize('number', [*OUT_OF_RANGE, -5])
 @pytest.mark.parametrize(
     'field',
     ['timeoutMs', 'targetLatencyMs', 'maxAttempts', 'slackFactor'],
 )
-def test_configuration_with_a_number_that_means_nothing_is_refused(
-    field, number
-):
+def test_configuration_with_number_out_of_range_is_refused(field, number):
     with pytest.raises(wire.WireError):
-        wire.read_routing(configured(**{field: number}))
+        wire.read_routing(encode_configuration(**{field: number}))
 
 
-@pytest.mark.parametrize('number', [*ODD_NUMBERS, -5])
+@pytest.mark.parametrize('number', [*OUT_OF_RANGE, -5])
 @pytest.mark.parametrize('field', ['decisionMs', 'perWorkerMs', 'validMs'])
-def test_terms_of_advice_that_mean_nothing_are_refused(field, number):
+def test_adviser_settings_out_of_range_are_refused(field, number):
     with pytest.raises(wire.WireError):
-        wire.read_routing(configured(advice={**ROUTE['advice'], field: number}))
+        wire.read_routing(
+            encode_configuration(advice={**ROUTE['advice'], field: number})
+        )
 
 
 @pytest.mark.parametrize('number', [10**40, -(10**40), 2**63])
-def test_version_that_the_log_cannot_hold_is_refused(number):
+def test_version_beyond_64_bits_is_refused(number):
     with pytest.raises(wire.WireError):
-        wire.read_routing(encoded({**DOCUMENT, 'version': number}))
+        wire.read_routing(encode_json({**CONFIGURATION, 'version': number}))
 
 
-UNUSUAL = (
+UNUSUAL_SETTINGS = (
     {'slackFactor': 51},
     {'targetLatencyMs': 691_200_000},
     {'maxAttempts': 5001},
@@ -476,64 +497,68 @@
 )
 
 
-@pytest.mark.parametrize('changes', UNUSUAL)
-def test_unusual_terms_of_a_queue_spoil_neither_log_nor_snapshot(changes):
-    routing = wire.read_routing(configured(**changes))
-    job_of_queue = wire.read_job(encoded(JOB), '0' * 16, routing.queues[0])
+@pytest.mark.parametrize('changes', UNUSUAL_SETTINGS)
+def test_queue_with_extreme_settings_survives_log_and_snapshot(changes):
+    routing = wire.read_routing(encode_configuration(**changes))
+    specification = wire.read_job(encode_json(JOB), '0' * 16, routing.queues[0])
     events = [
         event.ConfigurationReplaced(1, routing),
-        event.JobSubmitted(2, job_of_queue, 'd'),
+        event.JobSubmitted(2, specification, 'd'),
     ]
-    written = msgspec.msgpack.encode(events)
+    stored = msgspec.msgpack.encode(events)
     tables = state.State()
-    for one in msgspec.msgpack.decode(written, type=list[event.Event]):
+    for one in msgspec.msgpack.decode(stored, type=list[event.Event]):
         reducer.reduce(tables, one)
     restored = snapshot.decode(snapshot.encode(tables))
     assert list(restored.jobs) == ['0' * 16]
-    assert json.loads(routing.source) == json.loads(configured(**changes))
+    assert json.loads(routing.source) == json.loads(
+        encode_configuration(**changes)
+    )
 
 
-@pytest.mark.parametrize('number', ODD_NUMBERS)
+@pytest.mark.parametrize('number', OUT_OF_RANGE)
 @pytest.mark.parametrize(
     'field',
     ['count', 'cpu', 'memMb', 'gpu', 'estimateMs', 'antiAffinity', 'mayMiss'],
 )
-def test_job_that_needs_what_nothing_has_is_refused(field, number):
-    body = encoded({'phases': [{'count': 1, field: number}]})
+def test_job_with_number_out_of_range_is_refused(field, number):
+    body = encode_json({'phases': [{'count': 1, field: number}]})
     with pytest.raises(wire.WireError):
-        wire.read_job(body, '0' * 16, queue())
+        wire.read_job(body, '0' * 16, read_queue())
 
 
 @pytest.mark.parametrize('number', [10**40, -(10**40), 2**63])
-def test_job_that_no_message_can_carry_is_refused(number):
-    body = encoded({'phases': [{'count': 1, 'after': [number]}]})
+def test_job_with_integer_beyond_64_bits_is_refused(number):
+    body = encode_json({'phases': [{'count': 1, 'after': [number]}]})
     with pytest.raises(wire.WireError):
-        wire.read_job(body, '0' * 16, queue())
+        wire.read_job(body, '0' * 16, read_queue())
 
 
-@pytest.mark.parametrize('number', ODD_NUMBERS)
+@pytest.mark.parametrize('number', OUT_OF_RANGE)
 @pytest.mark.parametrize('field', ['firstMs', 'intervalMs'])
-def test_job_at_a_time_that_never_comes_is_refused(field, number):
-    body = encoded({**JOB, 'repeatCount': 2, field: number})
+def test_job_with_time_out_of_range_is_refused(field, number):
+    body = encode_json({**JOB, 'repeatCount': 2, field: number})
     with pytest.raises(wire.WireError):
-        wire.read_job(body, '0' * 16, queue())
+        wire.read_job(body, '0' * 16, read_queue())
 
 
 STEP_FIELDS = ('count', 'cpu', 'after', 'estimateMs', 'targetMs', 'image')
 
 
 @given(
-    step=st.dictionaries(st.sampled_from(STEP_FIELDS), ANYTHING),
+    step=st.dictionaries(st.sampled_from(STEP_FIELDS), JSON_VALUES),
     more=st.dictionaries(
         st.sampled_from(('repeatCount', 'firstMs', 'intervalMs', 'spec')),
-        ANYTHING,
+        JSON_VALUES,
     ),
 )
-def test_job_that_is_taken_can_be_handed_on(step, more):
-    body = encoded({'phases': [{'count': 1, **step}], **more})
+def test_accepted_job_survives_encoding(step, more):
+    body = encode_json({'phases': [{'count': 1, **step}], **more})
     try:
-        read = wire.read_job(body, '0' * 16, queue())
+        specification = wire.read_job(body, '0' * 16, read_queue())
     except wire.WireError:
         return
-    written = msgspec.msgpack.encode(read)
-    assert msgspec.msgpack.decode(written, type=job.Specification) == read
+    stored = msgspec.msgpack.encode(specification)
+    assert (
+        msgspec.msgpack.decode(stored, type=job.Specification) == specification
+    )
--- a/mulberrywalk/platform/worker_client.py
+++ b/mulberrywalk/platform/worker_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's workers and to its adviser."""
+"""HTTP clients of the platform's workers and of its adviser."""
 
 from __future__ import annotations
 
@@ -16,39 +16,38 @@
 from ..entry import adviser, target_client
 from ..telemetry import journal
 from ..transport import wire as messages
-from . import http, validation, wire
+from . import bound, http, wire
 
-_ORDER_S = 0.3
-# Beyond the time that the answer itself is allowed to wait for an end.
-_LOOK_S = 0.4
-_ADVICE_S = 4.0
+_COMMAND_TIMEOUT_S = 0.3
+# Added to the time for which the worker may delay its reply.
+_POLL_MARGIN_S = 0.4
+_ADVICE_TIMEOUT_S = 4.0
 _MS_PER_S = 1000
-_MOST_CONNECTIONS = 24
-_IDLE_S = 20
-# Longer than any call waits by itself.
-_CLIENT_S = 30
-_PLACE = 'Mulberrywalk-Expected-Instance'
-_WRONG_LIFE = 421
+_MAX_CONNECTIONS = 24
+_KEEPALIVE_S = 20
+# Longer than the timeout of any call, so that it never takes effect.
+_CLIENT_TIMEOUT_S = 30
+_EXPECTED_INSTANCE_HEADER = 'Mulberrywalk-Expected-Instance'
+_MISDIRECTED_REQUEST = 421
 _HEADERS = MappingProxyType(
     {'Content-Type': 'application/json', 'Accept-Encoding': 'identity'}
 )
-_PACKED = 'content-encoding'
-# Of an answer; 10,000 rows of a listing take about a tenth of it.
-_MOST_BYTES = 8_388_608
+_CONTENT_ENCODING = 'content-encoding'
+# A listing of 10,000 rows takes about a tenth of this.
+_MAX_REPLY_BYTES = 8_388_608
 
-_STATUSES = MappingProxyType(
+_RESULTS_BY_STATUS = MappingProxyType(
     {
         http.OK: target_client.CallResult.DONE,
         http.BAD_REQUEST: target_client.CallResult.INVALID,
-        _WRONG_LIFE: target_client.CallResult.WRONG_INCARNATION,
+        _MISDIRECTED_REQUEST: target_client.CallResult.WRONG_INCARNATION,
         http.TOO_MANY_REQUESTS: target_client.CallResult.UNHEALTHY,
         http.SERVICE_UNAVAILABLE: target_client.CallResult.UNHEALTHY,
     }
 )
 
-# What a call raises when nobody answers, and for a header that no call can be
-# made with.
-_UNANSWERED = (
+# Raised by a call that gets no reply or has a header that cannot be sent.
+_CALL_ERRORS = (
     httpx.HTTPError,
     OSError,
     ValueError,
@@ -57,40 +56,40 @@
 
 
 class ClientPool:
-    """One HTTP client for each address that is called.
+    """HTTP clients, one for each address.
 
-    A client looks at all of its idle connections on each call, so that one
-    for all addresses would cost more the more there are.
+    A client scans all its idle connections on each call, so the cost of a call
+    on a single shared client would grow with the number of addresses.
     """
 
     def __init__(self) -> None:
         """Start without clients."""
         self._clients: dict[str, httpx.AsyncClient] = {}
-        # Nothing is encrypted here; a client without one makes its own.
-        self._context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+        # Calls are not encrypted, but a client without a context creates one.
+        self._ssl_context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
 
-    def get(self, address: str) -> httpx.AsyncClient | None:
-        """Return the client of an address, or None when it is not IPv4:port."""
-        if not validation.is_address(address):
+    def client_for(self, address: str) -> httpx.AsyncClient | None:
+        """Return the client of an address, or None if it is not IPv4:port."""
+        if not bound.is_address(address):
             return None
         client = self._clients.get(address)
         if client is None:
             client = httpx.AsyncClient(
                 base_url=f'http://{address}',
-                timeout=_CLIENT_S,
+                timeout=_CLIENT_TIMEOUT_S,
                 trust_env=False,
-                verify=self._context,
+                verify=self._ssl_context,
                 limits=httpx.Limits(
-                    max_connections=_MOST_CONNECTIONS,
-                    max_keepalive_connections=_MOST_CONNECTIONS,
-                    keepalive_expiry=_IDLE_S,
+                    max_connections=_MAX_CONNECTIONS,
+                    max_keepalive_connections=_MAX_CONNECTIONS,
+                    keepalive_expiry=_KEEPALIVE_S,
                 ),
             )
             self._clients[address] = client
         return client
 
     async def close(self, address: str) -> None:
-        """Close the connections to an address that is called no more."""
+        """Close the client of an address that is no longer called."""
         client = self._clients.pop(address, None)
         if client is not None:
             await client.aclose()
@@ -98,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HttpReply:
-    """An answer that was read whole."""
+    """A reply with its complete body."""
 
     status: int
     body: bytes
@@ -109,72 +108,75 @@
     url: str,
     body: dict[str, Any],
     headers: Mapping[str, str],
-    seconds: float,
+    timeout_s: float,
 ) -> HttpReply | None:
-    """Return the answer, or None when none came in time or none can come.
+    """Send a POST request; return the reply, or None if there is none in time.
 
-    One that is packed, or longer than _MOST_BYTES, counts as none.
+    Also returns None if the client is None, if the call fails, and for a reply
+    that has a content encoding or exceeds _MAX_REPLY_BYTES.
     """
     if client is None:
         return None
     encoded = msgspec.json.encode(body)
-    with anyio.move_on_after(seconds):
+    with anyio.move_on_after(timeout_s):
         try:
             async with client.stream(
                 'POST', url, content=encoded, headers=headers
-            ) as answered:
-                return await _read(answered)
-        except _UNANSWERED:
+            ) as reply:
+                return await _read_reply(reply)
+        except _CALL_ERRORS:
             return None
     return None
 
 
-async def _read(answered: httpx.Response) -> HttpReply | None:
-    if _PACKED in answered.headers:
+async def _read_reply(reply: httpx.Response) -> HttpReply | None:
+    if _CONTENT_ENCODING in reply.headers:
         return None
     chunks: list[bytes] = []
     size = 0
-    async for chunk in answered.aiter_raw():
+    async for chunk in reply.aiter_raw():
         size += len(chunk)
-        if size > _MOST_BYTES:
+        if size > _MAX_REPLY_BYTES:
             return None
         chunks.append(chunk)
-    return HttpReply(answered.status_code, b''.join(chunks))
+    return HttpReply(reply.status_code, b''.join(chunks))
 
 
 class WorkerClient(target_client.TargetClient):
-    """Orders and looks as calls to workers."""
+    """Sends polls and commands to workers over HTTP."""
 
-    def __init__(self, clients: ClientPool, lines: journal.Journal) -> None:
-        """Use the clients that are given."""
-        self._clients = clients
-        self._lines = lines
+    def __init__(
+        self, client_pool: ClientPool, event_log: journal.Journal
+    ) -> None:
+        """Set up the state."""
+        self._client_pool = client_pool
+        self._event_log = event_log
 
     async def poll(
         self,
         destination: target_client.Destination,
-        glance: target_client.PollRequest,
+        request: target_client.PollRequest,
     ) -> target_client.PollResult | target_client.CallResult:
-        """Return what a look has shown, or why there is nothing."""
+        """Poll a worker; return its state, or why the poll failed."""
         body: dict[str, Any] = {
-            'fencingToken': glance.term,
-            'ackCursor': glance.acknowledged,
+            'fencingToken': request.term,
+            'ackCursor': request.acknowledged,
         }
-        if glance.lease_until_ms is not None:
-            body['deadlineMs'] = glance.lease_until_ms
-        if glance.wait_ms:
-            body['waitMs'] = glance.wait_ms
-        seconds = _LOOK_S + glance.wait_ms / _MS_PER_S
-        answered = await self._call(destination, 'hold', body, seconds)
-        if answered is None:
+        if request.lease_until_ms is not None:
+            body['deadlineMs'] = request.lease_until_ms
+        if request.wait_ms:
+            body['waitMs'] = request.wait_ms
+        timeout_s = _POLL_MARGIN_S + request.wait_ms / _MS_PER_S
+        reply = await self._call(destination, 'hold', body, timeout_s)
+        if reply is None:
             return target_client.CallResult.NO_REPLY
-        if answered.status != http.OK:
-            return _answer_of(answered)
+        if reply.status != http.OK:
+            return _to_call_result(reply)
         try:
-            return wire.read_listing(answered.body)
+            return wire.read_listing(reply.body)
         except wire.WireError as error:
-            self._lines.warn(
-                'listing refused', f'of {destination.target}: {error}'
+            self._event_log.warn(
+                'listing refused', f'from {destination.target}: {error}'
             )
             return target_client.CallResult.INVALID
 
@@ -182,18 +184,21 @@
         self,
         destination: target_client.Destination,
         command: messages.StartCommand,
-        until: int,
+        lease_until_ms: int,
         term: int,
     ) -> target_client.CallResult:
-        """Start an attempt under a lease until a time of the worker."""
-        body = _order(command.attempt, term)
+        """Start an attempt, with a lease that ends at lease_until_ms.
+
+        lease_until_ms is a time on the worker's clock.
+        """
+        body = _command_body(command.attempt, term)
         body['spec'] = command.payload
-        body['deadlineMs'] = until
+        body['deadlineMs'] = lease_until_ms
         if command.checkpoint:
             body['checkpoint'] = command.checkpoint
         if command.ticket:
             body['ticket'] = command.ticket
-        return await self._order(destination, 'run-start', body)
+        return await self._send_command(destination, 'run-start', body)
 
     async def stop(
         self,
@@ -201,9 +206,9 @@
         attempt: identity.AttemptId,
         term: int,
     ) -> target_client.CallResult:
-        """Stop an attempt, and bar it where it was not started yet."""
-        body = _order(attempt, term)
-        return await self._order(destination, 'run-stop', body)
+        """Stop an attempt, or bar it from starting if it has not started."""
+        body = _command_body(attempt, term)
+        return await self._send_command(destination, 'run-stop', body)
 
     async def pace(
         self,
@@ -212,22 +217,22 @@
         percent: int,
         term: int,
     ) -> target_client.CallResult:
-        """Let an attempt work at a share of its speed."""
-        body = _order(attempt, term)
+        """Limit an attempt to a percentage of its full speed."""
+        body = _command_body(attempt, term)
         body['percent'] = percent
-        return await self._order(destination, 'pace', body)
+        return await self._send_command(destination, 'pace', body)
 
-    async def _order(
+    async def _send_command(
         self,
         destination: target_client.Destination,
         path: str,
         body: dict[str, Any],
     ) -> target_client.CallResult:
-        answered = await self._call(destination, path, body, _ORDER_S)
+        reply = await self._call(destination, path, body, _COMMAND_TIMEOUT_S)
         return (
             target_client.CallResult.NO_REPLY
-            if answered is None
-            else _answer_of(answered)
+            if reply is None
+            else _to_call_result(reply)
         )
 
     async def _call(
@@ -235,54 +240,56 @@
         destination: target_client.Destination,
         path: str,
         body: dict[str, Any],
-        seconds: float,
+        timeout_s: float,
     ) -> HttpReply | None:
         return await post(
-            self._clients.get(destination.address),
+            self._client_pool.client_for(destination.address),
             f'/{path}',
             body,
-            {**_HEADERS, _PLACE: destination.target},
-            seconds,
+            {**_HEADERS, _EXPECTED_INSTANCE_HEADER: destination.target},
+            timeout_s,
         )
 
 
 class HttpAdviserClient(adviser.AdviserClient):
-    """Questions as calls to the adviser of the platform."""
+    """Sends requests to the platform's adviser over HTTP."""
 
     def __init__(
-        self, clients: ClientPool, address: str, lines: journal.Journal
+        self, client_pool: ClientPool, address: str, event_log: journal.Journal
     ) -> None:
-        """Ask at an address, host:port."""
-        self._clients = clients
+        """Set up the state; address is IPv4:port."""
+        self._client_pool = client_pool
         self._address = address
-        self._lines = lines
+        self._event_log = event_log
 
     async def advise(
         self, step: identity.StepId, targets: tuple[identity.TargetId, ...]
     ) -> tuple[tuple[identity.TargetId, str], ...] | None:
-        """Return allowed workers with their tickets, or None on failure."""
-        answered = await post(
-            self._clients.get(self._address),
+        """Return the allowed workers and their tickets, or None on failure."""
+        reply = await post(
+            self._client_pool.client_for(self._address),
             '/advise',
             {'step': step, 'workers': targets},
             _HEADERS,
-            _ADVICE_S,
+            _ADVICE_TIMEOUT_S,
         )
-        if answered is None or answered.status != http.OK:
+        if reply is None or reply.status != http.OK:
             return None
         try:
-            return wire.read_tickets(answered.body)
+            return wire.read_tickets(reply.body)
         except wire.WireError as error:
-            self._lines.warn('advice refused', f'on {step}: {error}')
+            self._event_log.warn('advice refused', f'for {step}: {error}')
             return None
 
 
-def _order(attempt: identity.AttemptId, term: int) -> dict[str, Any]:
+def _command_body(attempt: identity.AttemptId, term: int) -> dict[str, Any]:
     task, run = wire.split_attempt_id(attempt)
     return {'task': task, 'runId': run, 'fencingToken': term}
 
 
-def _answer_of(answered: HttpReply) -> target_client.CallResult:
-    if answered.status == http.CONFLICT:
-        return wire.read_refusal(answered.body)
-    return _STATUSES.get(answered.status, target_client.CallResult.NO_REPLY)
+def _to_call_result(reply: HttpReply) -> target_client.CallResult:
+    if reply.status == http.CONFLICT:
+        return wire.read_refusal(reply.body)
+    return _RESULTS_BY_STATUS.get(
+        reply.status, target_client.CallResult.NO_REPLY
+    )
--- a/mulberrywalk/platform/worker_client_test.py
+++ b/mulberrywalk/platform/worker_client_test.py
@@ -1,4 +1,4 @@
-"""Calls of an entry to addresses where nobody answers, or nobody could."""
+"""Calls to invalid addresses and replies that are invalid or too large."""
 
 import contextlib
 import gzip
@@ -13,7 +13,7 @@
 from ..telemetry import journal
 from . import worker_client
 
-ODD_ADDRESSES = (
+INVALID_ADDRESSES = (
     '',
     '127.0.0.1',
     '127.0.0.1:x',
@@ -28,89 +28,95 @@
 )
 
 
-def look(destination):
-    caller = worker_client.WorkerClient(
+def poll_destination(destination):
+    client = worker_client.WorkerClient(
         worker_client.ClientPool(), journal.Journal(journal.Origin('e', 'd'))
     )
-    glance = target_client.PollRequest(1, None, 0, 0)
-    return anyio.run(caller.poll, destination, glance)
+    request = target_client.PollRequest(1, None, 0, 0)
+    return anyio.run(client.poll, destination, request)
 
 
-@pytest.mark.parametrize('address', ODD_ADDRESSES)
-def test_address_that_cannot_be_called_gives_no_answer(address):
-    target = target_client.Destination(identity.TargetId('i-1'), address)
-    assert look(target) is target_client.CallResult.NO_REPLY
+@pytest.mark.parametrize('address', INVALID_ADDRESSES)
+def test_poll_of_invalid_address_gets_no_reply(address):
+    destination = target_client.Destination(identity.TargetId('i-1'), address)
+    assert poll_destination(destination) is target_client.CallResult.NO_REPLY
 
 
 @pytest.mark.parametrize('name', ['\xe9', 'a\nb', '\x00', '\u2488'])
-def test_id_that_no_header_can_carry_gives_no_answer(name):
-    target = target_client.Destination(identity.TargetId(name), '127.0.0.1:9')
-    assert look(target) is target_client.CallResult.NO_REPLY
+def test_poll_with_id_invalid_in_header_gets_no_reply(name):
+    destination = target_client.Destination(
+        identity.TargetId(name), '127.0.0.1:9'
+    )
+    assert poll_destination(destination) is target_client.CallResult.NO_REPLY
 
 
-@pytest.mark.parametrize('address', ODD_ADDRESSES)
-def test_adviser_that_cannot_be_called_gives_no_advice(address):
-    lines = journal.Journal(journal.Origin('e', 'd'))
-    asking = worker_client.HttpAdviserClient(
-        worker_client.ClientPool(), address, lines
+@pytest.mark.parametrize('address', INVALID_ADDRESSES)
+def test_adviser_with_invalid_address_gives_no_advice(address):
+    event_log = journal.Journal(journal.Origin('e', 'd'))
+    client = worker_client.HttpAdviserClient(
+        worker_client.ClientPool(), address, event_log
     )
-    told = anyio.run(asking.advise, identity.StepId('j.0.0'), ())
-    assert told is None
+    advice = anyio.run(client.advise, identity.StepId('j.0.0'), ())
+    assert advice is None
 
 
 LISTING = b'{"clockMs": 1, "born": 5, "running": [], "finished": []}'
 PADDING = bytes(20_000_000).replace(b'\0', b' ')
 
 
-class _Answering(http_server.BaseHTTPRequestHandler):
-    """Answers each call with the body of the server."""
+class _RequestHandler(http_server.BaseHTTPRequestHandler):
+    """Sends the headers and the body that the server holds."""
 
     def do_POST(self):
         self.rfile.read(int(self.headers['content-length']))
         self.send_response(200)
-        for name, text in self.server.told.items():
+        for name, text in self.server.extra_headers.items():
             self.send_header(name, text)
         self.end_headers()
         with contextlib.suppress(OSError):
             self.wfile.write(self.server.body)
 
     def log_message(self, *_):
-        """Write nothing."""
+        """Log nothing."""
 
 
 @pytest.fixture
 def server():
-    serving = http_server.ThreadingHTTPServer(('127.0.0.1', 0), _Answering)
-    serving.daemon_threads = True
-    serving.told = {}
-    threading.Thread(target=serving.serve_forever, daemon=True).start()
-    yield serving
-    serving.shutdown()
+    running_server = http_server.ThreadingHTTPServer(
+        ('127.0.0.1', 0), _RequestHandler
+    )
+    running_server.daemon_threads = True
+    running_server.extra_headers = {}
+    threading.Thread(target=running_server.serve_forever, daemon=True).start()
+    yield running_server
+    running_server.shutdown()
 
 
-def look_at(server):
+def poll_server(server):
     address = f'127.0.0.1:{server.server_port}'
-    return look(target_client.Destination(identity.TargetId('i-1'), address))
+    return poll_destination(
+        target_client.Destination(identity.TargetId('i-1'), address)
+    )
 
 
-def test_listing_is_read(server):
+def test_listing_is_decoded(server):
     server.body = LISTING
-    assert look_at(server) == target_client.PollResult(1, 5, (), ())
+    assert poll_server(server) == target_client.PollResult(1, 5, (), ())
 
 
-def test_answer_without_end_is_not_kept_in_memory(server):
+def test_reply_over_size_limit_is_discarded(server):
     server.body = LISTING + PADDING
-    assert look_at(server) is target_client.CallResult.NO_REPLY
+    assert poll_server(server) is target_client.CallResult.NO_REPLY
 
 
-def test_packed_answer_is_not_unpacked(server):
-    server.told = {'content-encoding': 'gzip'}
+def test_compressed_reply_is_discarded(server):
+    server.extra_headers = {'content-encoding': 'gzip'}
     server.body = gzip.compress(LISTING + PADDING)
-    assert look_at(server) is target_client.CallResult.NO_REPLY
+    assert poll_server(server) is target_client.CallResult.NO_REPLY
 
 
 @pytest.mark.parametrize(
-    'told',
+    'extra_headers',
     [
         {'content-length': '99999999999999999999'},
         {'content-length': '-1'},
@@ -119,7 +125,7 @@
         {'location': 'http://[::1', 'content-type': ';charset=\xff'},
     ],
 )
-def test_odd_headers_of_an_answer_end_nothing(server, told):
-    server.told = told
+def test_invalid_reply_headers_raise_no_error(server, extra_headers):
+    server.extra_headers = extra_headers
     server.body = b'zz\r\n'
-    assert isinstance(look_at(server), target_client.CallResult)
+    assert isinstance(poll_server(server), target_client.CallResult)
