--- a/demo/audit.py
+++ b/demo/audit.py
@@ -43,7 +43,7 @@
     memory_bytes: int
 
 
-def read(path: pathlib.Path, killed: dict[str, int]) -> list[Run]:
+def read(path: pathlib.Path, killed_at: dict[str, int]) -> list[Run]:
     """Return the runs of a history; killed says when targets were killed.
 
     A run without an end lasted until its target was killed, or goes on.
@@ -61,7 +61,7 @@
             started_at=line['at'],
             ended_at=ends.get(
                 (line['target'], line['attempt']),
-                killed.get(line['target'], NEVER),
+                killed_at.get(line['target'], NEVER),
             ),
             millicores=line['millicores'],
             memory_bytes=line['memory_bytes'],
@@ -75,24 +75,24 @@
 def check_overlaps(runs: Iterable[Run]) -> list[str]:
     """Return the tasks that ran in two places at once, or one run twice."""
     ordered = sorted(runs, key=lambda run: (run.task, run.started_at))
-    faults: list[str] = []
+    violations: list[str] = []
     for task, group in itertools.groupby(ordered, key=lambda run: run.task):
-        own = list(group)
-        faults.extend(
-            f'{task} ran on {left.target} and {right.target} at once'
-            for left, right in itertools.pairwise(own)
-            if right.started_at < left.ended_at
+        task_runs = list(group)
+        violations.extend(
+            f'{task} ran on {earlier.target} and {later.target} at once'
+            for earlier, later in itertools.pairwise(task_runs)
+            if later.started_at < earlier.ended_at
         )
-        names = [run.attempt for run in own]
-        if len(names) > len(set(names)):
-            faults.append(f'an attempt of {task} was run twice')
-    return faults
+        attempts = [run.attempt for run in task_runs]
+        if len(attempts) > len(set(attempts)):
+            violations.append(f'an attempt of {task} was run twice')
+    return violations
 
 
 def check_capacity(runs: Iterable[Run], capacity: Capacity) -> list[str]:
     """Return the targets that were given more than they can hold."""
     ordered = sorted(runs, key=lambda run: run.target)
-    faults: list[str] = []
+    violations: list[str] = []
     for target, group in itertools.groupby(ordered, key=lambda run: run.target):
         peak = _peak(list(group))
         if (
@@ -100,8 +100,8 @@
             or peak.slots > capacity.slots
             or peak.memory_bytes > capacity.memory_bytes
         ):
-            faults.append(f'{target} was given {peak}')
-    return faults
+            violations.append(f'{target} was given {peak}')
+    return violations
 
 
 def _peak(runs: list[Run]) -> Capacity:
--- a/demo/cell.py
+++ b/demo/cell.py
@@ -26,13 +26,13 @@
 CAPACITY = audit.Capacity(
     millicores=16_000, slots=8, memory_bytes=34_359_738_368
 )
-READY_S = 40.0
-_POLL_S = 0.1
-_STOP_S = 10.0
-_ANSWER_S = 15
+READY_TIMEOUT_S = 40.0
+_POLL_INTERVAL_S = 0.1
+_STOP_TIMEOUT_S = 10.0
+_REQUEST_TIMEOUT_S = 15
 _FIRST_PORT = 10_000
 _LAST_PORT = 30_000
-_LANE = 500
+_PORT_BLOCK_SIZE = 500
 
 
 class CellError(Exception):
@@ -78,7 +78,7 @@
             self.running.wait()
         self.killed_at = runner.monotonic_ms()
 
-    def stop(self, seconds: float = _STOP_S) -> int:
+    def stop(self, seconds: float = _STOP_TIMEOUT_S) -> int:
         """End the process in order; returns its exit code."""
         self.signal(signal.SIGTERM)
         if self.running is None:
@@ -126,7 +126,7 @@
         """Start all processes and wait until the targets have sessions."""
         self.plan.folder.mkdir(parents=True, exist_ok=True)
         for number in range(self.plan.replicas):
-            self.found_replica(number)
+            self.init_replica(number)
         for number in range(self.plan.replicas + self.plan.spares):
             self.add_replica(number).start()
         for number in range(self.plan.entries):
@@ -135,14 +135,14 @@
             self.add_target(number).start()
         self.wait_ready(self.plan.targets)
 
-    def found_replica(self, number: int) -> None:
+    def init_replica(self, number: int) -> None:
         """Write the identity of a founding replica."""
         founders = ','.join(
-            self._founder(place) for place in range(self.plan.replicas)
+            self._founder_option(index) for index in range(self.plan.replicas)
         )
         subprocess.run(
             [
-                *program('replica'),
+                *program_command('replica'),
                 'init',
                 '--data',
                 str(self.plan.folder / f'replica-{number}'),
@@ -162,7 +162,7 @@
             name,
             data_centre,
             [
-                *program('replica'),
+                *program_command('replica'),
                 'run',
                 '--data',
                 str(self.plan.folder / name),
@@ -188,7 +188,7 @@
             name,
             data_centre,
             [
-                *program('entry'),
+                *program_command('entry'),
                 '--name',
                 name,
                 '--data-centre',
@@ -205,7 +205,7 @@
         """Return the process of a target, not started."""
         name = f'target-{number}'
         entries = self.dialled_entries
-        turn = number % len(entries)
+        offset = number % len(entries)
         rack = number // self.plan.rack_size
         data_centre = DATA_CENTRES[rack % len(DATA_CENTRES)]
         return self._add(
@@ -216,7 +216,7 @@
                 '-m',
                 'demo.stand_in',
                 name,
-                ','.join([*entries[turn:], *entries[:turn]]),
+                ','.join([*entries[offset:], *entries[:offset]]),
                 '--data-centre',
                 data_centre,
                 '--rack',
@@ -229,24 +229,26 @@
             ],
         )
 
-    def wait_ready(self, targets: int) -> None:
+    def wait_ready(self, target_count: int) -> None:
         """Wait until every entry is ready and that many targets serve."""
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
-            if self._is_ready(targets):
+            if self._is_ready(target_count):
                 return
-            time.sleep(_POLL_S)
-        raise CellError(f'the cell was not ready within {READY_S} s')
+            time.sleep(_POLL_INTERVAL_S)
+        raise CellError(f'the cell was not ready within {READY_TIMEOUT_S} s')
 
     def get(self, path: str, entry: int = 0) -> dict[str, Any]:
         """Return what an entry answers to a GET."""
         url = f'http://{self.entry_addresses[entry]}{path}'
-        answered: dict[str, Any] = httpx.get(url, timeout=_ANSWER_S).json()
-        return answered
+        response: dict[str, Any] = httpx.get(
+            url, timeout=_REQUEST_TIMEOUT_S
+        ).json()
+        return response
 
     def leader(self) -> str:
         """Return the name of the process that leads."""
-        deadline = time.monotonic() + READY_S
+        deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
                 leader = self.get('/v1/members').get('leader')
@@ -254,7 +256,7 @@
                 leader = None
             if leader:
                 return str(leader)
-            time.sleep(_POLL_S)
+            time.sleep(_POLL_INTERVAL_S)
         raise CellError('no leader was found')
 
     def stop(self) -> None:
@@ -266,32 +268,32 @@
             if process.running is not None:
                 process.running.wait()
 
-    def _founder(self, place: int) -> str:
-        address = self.dialled_replicas[place]
-        data_centre = DATA_CENTRES[place % len(DATA_CENTRES)]
-        return f'replica-{place}={address}@{data_centre}'
+    def _founder_option(self, index: int) -> str:
+        address = self.dialled_replicas[index]
+        data_centre = DATA_CENTRES[index % len(DATA_CENTRES)]
+        return f'replica-{index}={address}@{data_centre}'
 
     def _add(self, name: str, data_centre: str, command: list[str]) -> Process:
         log = self.plan.folder / f'{name}.log'
         self.processes[name] = Process(name, command, log, data_centre)
         return self.processes[name]
 
-    def _is_ready(self, targets: int) -> bool:
+    def _is_ready(self, target_count: int) -> bool:
         try:
-            shown = [
+            responses = [
                 self.get('/v1/targets', entry)
                 for entry in range(len(self.entry_addresses))
             ]
         except httpx.HTTPError:
             return False
         return all(
-            len([one for one in answer.get('targets', []) if one['session']])
-            >= targets
-            for answer in shown
+            len([row for row in response.get('targets', []) if row['session']])
+            >= target_count
+            for response in responses
         )
 
 
-def program(name: str) -> list[str]:
+def program_command(name: str) -> list[str]:
     """Return the command of one of the system's programs."""
     return [sys.executable, '-m', f'mulberrywalk.{name}.program']
 
@@ -316,8 +318,8 @@
 
 
 def _cycle_ports() -> Iterator[int]:
-    lanes = (_LAST_PORT - _FIRST_PORT) // _LANE
-    start = _FIRST_PORT + os.getpid() % lanes * _LANE
+    block_count = (_LAST_PORT - _FIRST_PORT) // _PORT_BLOCK_SIZE
+    start = _FIRST_PORT + os.getpid() % block_count * _PORT_BLOCK_SIZE
     ordered = [*range(start, _LAST_PORT), *range(_FIRST_PORT, start)]
     return itertools.cycle(ordered)
 
--- a/demo/morning.py
+++ b/demo/morning.py
@@ -27,21 +27,21 @@
 from mulberrywalk.telemetry import clock, journal
 
 TEAM = 'kitamori'
-MEMORY = 1_073_741_824
-MATCHES = 120
-MATCH_GAP_S = 0.15
+TASK_MEMORY_BYTES = 1_073_741_824
+MATCH_COUNT = 120
+MATCH_INTERVAL_S = 0.15
 SORT_TASKS = 200
 GANG_TASKS = 12
 MS_PER_S = 1000
-WAIT_S = 60.0
-_TRIES = 12
-_RETRY_S = 0.3
-_FOLDER = pathlib.Path('run/demo')
-_TARGETS = 24
-_LINES_SHOWN = 40
+MAX_WAIT_S = 60.0
+_MAX_SUBMISSIONS = 12
+_RETRY_DELAY_S = 0.3
+_RUN_FOLDER = pathlib.Path('run/demo')
+_TARGET_COUNT = 24
+_MAX_TIMELINE_LINES = 40
 _PERCENTILES = (50, 99)
-_WIDTH = 112
-_COLUMNS = (
+_CONSOLE_WIDTH = 112
+_TABLE_COLUMNS = (
     'work',
     'jobs',
     'completed',
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Needs:
+class TaskSpec:
     """What each task of a job needs, and the label that its answer bears."""
 
     millicores: int
@@ -65,253 +65,275 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Order:
+class JobRequest:
     """A job to submit, and for how many seconds to hold the answer."""
 
     kind: str
     request_id: str
     body: dict[str, Any]
-    seconds: float
+    wait_s: float
 
 
 @dataclasses.dataclass
-class Told:
+class JobReport:
     """What a caller was told about one job in the end, and how soon."""
 
     kind: str
     request_id: str
     outcome: str
     body: dict[str, Any]
-    took_ms: float
+    latency_ms: float
 
 
-class Morning:
+class Workload:
     """Submits the morning's work and collects what callers are told."""
 
-    def __init__(self, running: cell.Cell) -> None:
+    def __init__(self, running_cell: cell.Cell) -> None:
         """Work through the entries of a running cell."""
-        self.told: list[Told] = []
-        self._cell = running
+        self.reports: list[JobReport] = []
+        self._cell = running_cell
         self._lock = threading.Lock()
 
-    def submit(self, order: Order) -> None:
+    def submit(self, request: JobRequest) -> None:
         """Submit a job and ask until it has ended or time is up."""
-        job = {'request_id': order.request_id, 'team': TEAM, **order.body}
-        began_at = time.monotonic()
-        answered = self._insist(job, order.seconds)
-        took_ms = (time.monotonic() - began_at) * MS_PER_S
-        told = Told(
-            order.kind,
-            order.request_id,
-            _outcome_of(answered),
-            answered,
-            took_ms,
+        job = {'request_id': request.request_id, 'team': TEAM, **request.body}
+        started_at = time.monotonic()
+        response = self._submit_until_known(job, request.wait_s)
+        latency_ms = (time.monotonic() - started_at) * MS_PER_S
+        report = JobReport(
+            request.kind,
+            request.request_id,
+            _outcome_of(response),
+            response,
+            latency_ms,
         )
         with self._lock:
-            self.told.append(told)
+            self.reports.append(report)
 
-    def _insist(self, job: dict[str, Any], seconds: float) -> dict[str, Any]:
+    def _submit_until_known(
+        self, job: dict[str, Any], wait_s: float
+    ) -> dict[str, Any]:
         """Resend under the same request id until the answer is known."""
-        answered: dict[str, Any] = {'outcome': 'unknown'}
+        response: dict[str, Any] = {'outcome': 'unknown'}
         entries = self._cell.entry_addresses
-        for turn in range(_TRIES):
-            address = entries[turn % len(entries)]
-            url = f'http://{address}/v1/jobs?wait={seconds}'
+        for attempt in range(_MAX_SUBMISSIONS):
+            address = entries[attempt % len(entries)]
+            url = f'http://{address}/v1/jobs?wait={wait_s}'
             try:
-                answered = httpx.post(
-                    url, json=job, timeout=seconds + WAIT_S
+                response = httpx.post(
+                    url, json=job, timeout=wait_s + MAX_WAIT_S
                 ).json()
             except (httpx.HTTPError, ValueError):
-                answered = {'outcome': 'unknown'}
-            if answered['outcome'] in {'job', 'accepted'}:
-                return answered
-            time.sleep(_RETRY_S)
-        return answered
+                response = {'outcome': 'unknown'}
+            if response['outcome'] in {'job', 'accepted'}:
+                return response
+            time.sleep(_RETRY_DELAY_S)
+        return response
 
 
 def main() -> int:
     """Run the morning; returns zero when nothing was lost or doubled."""
-    shutil.rmtree(_FOLDER, ignore_errors=True)
-    running = cell.Cell(cell.Plan(_FOLDER.absolute(), targets=_TARGETS))
-    console = Console(width=_WIDTH)
+    shutil.rmtree(_RUN_FOLDER, ignore_errors=True)
+    running_cell = cell.Cell(
+        cell.Plan(_RUN_FOLDER.absolute(), targets=_TARGET_COUNT)
+    )
+    console = Console(width=_CONSOLE_WIDTH)
     console.print('starting 3 replicas, 2 entries and 24 targets')
     with contextlib.ExitStack() as stack:
-        stack.callback(running.stop)
-        running.start()
-        morning = Morning(running)
-        killed = _work(running, morning, console)
-        faults = _check(running, morning, killed)
-        _show(running, morning, console)
-    for fault in faults:
-        console.print(f'[red]{fault}')
-    console.print(f'lost, doubled or over capacity: {len(faults)}')
-    return 1 if faults else 0
-
-
-def _work(
-    running: cell.Cell, morning: Morning, console: Console
+        stack.callback(running_cell.stop)
+        running_cell.start()
+        workload = Workload(running_cell)
+        killed_at = _run_workload(running_cell, workload, console)
+        violations = _check(running_cell, workload, killed_at)
+        _print_summary(running_cell, workload, console)
+    for violation in violations:
+        console.print(f'[red]{violation}')
+    console.print(f'lost, doubled or over capacity: {len(violations)}')
+    return 1 if violations else 0
+
+
+def _run_workload(
+    running_cell: cell.Cell, workload: Workload, console: Console
 ) -> dict[str, int]:
-    with futures.ThreadPoolExecutor(MATCHES) as callers:
-        waiting = [
-            callers.submit(morning.submit, order)
-            for order in _standing_orders()
+    with futures.ThreadPoolExecutor(MATCH_COUNT) as callers:
+        pending = [
+            callers.submit(workload.submit, request)
+            for request in _background_requests()
         ]
-        for number in range(MATCHES):
-            waiting.append(callers.submit(morning.submit, _match(number)))
-            time.sleep(MATCH_GAP_S)
-            if number == MATCHES // 3:
-                _kill(running, running.leader(), console)
-            if number == MATCHES // 2:
-                _kill(running, 'target-3', console)
-        for one in waiting:
-            one.result()
+        for number in range(MATCH_COUNT):
+            pending.append(
+                callers.submit(workload.submit, _match_request(number))
+            )
+            time.sleep(MATCH_INTERVAL_S)
+            if number == MATCH_COUNT // 3:
+                _kill(running_cell, running_cell.leader(), console)
+            if number == MATCH_COUNT // 2:
+                _kill(running_cell, 'target-3', console)
+        for future in pending:
+            future.result()
     return {
         name: process.killed_at
-        for name, process in running.processes.items()
+        for name, process in running_cell.processes.items()
         if process.killed_at
     }
 
 
-def _kill(running: cell.Cell, name: str, console: Console) -> None:
+def _kill(running_cell: cell.Cell, name: str, console: Console) -> None:
     console.print(f'killing {name}')
-    running.processes[name].kill()
+    running_cell.processes[name].kill()
 
 
-def _match(number: int) -> Order:
-    needs = Needs(millicores=500, run_ms=20, label=f'match {number}')
-    body = {'kind': 'request', 'urgency': 'critical', **_tasks(1, needs)}
-    return Order('swatch match', f'match-{number}', body, WAIT_S)
+def _match_request(number: int) -> JobRequest:
+    spec = TaskSpec(millicores=500, run_ms=20, label=f'match {number}')
+    body = {'kind': 'request', 'urgency': 'critical', **_tasks(1, spec)}
+    return JobRequest('swatch match', f'match-{number}', body, MAX_WAIT_S)
 
 
-def _standing_orders() -> Iterator[Order]:
-    hides = Needs(millicores=3000, run_ms=1500, label='hide')
-    sort = {'kind': 'batch', 'urgency': 'low', **_tasks(SORT_TASKS, hides)}
-    yield Order('hide sort', 'sort-1', sort, WAIT_S)
-    presses = Needs(millicores=4000, run_ms=1000, label='press')
-    gang = {'kind': 'gang', 'urgency': 'normal', **_tasks(GANG_TASKS, presses)}
-    yield Order('gang', 'gang-1', gang, WAIT_S)
-    lot = Needs(millicores=500, run_ms=30, label='lot 7')
-    hold = {'kind': 'request', 'urgency': 'high', **_tasks(1, lot)}
-    yield Order('lot hold', 'hold-1', {**hold, 'idempotent': False}, WAIT_S)
-    watches = Needs(millicores=500, run_ms=3_600_000, label='watch')
-    watch = {'kind': 'service', 'urgency': 'high', **_tasks(4, watches)}
-    yield Order('lot watch', 'watch-1', watch, 0)
+def _background_requests() -> Iterator[JobRequest]:
+    hide_spec = TaskSpec(millicores=3000, run_ms=1500, label='hide')
+    sort_body = {
+        'kind': 'batch',
+        'urgency': 'low',
+        **_tasks(SORT_TASKS, hide_spec),
+    }
+    yield JobRequest('hide sort', 'sort-1', sort_body, MAX_WAIT_S)
+    press_spec = TaskSpec(millicores=4000, run_ms=1000, label='press')
+    gang_body = {
+        'kind': 'gang',
+        'urgency': 'normal',
+        **_tasks(GANG_TASKS, press_spec),
+    }
+    yield JobRequest('gang', 'gang-1', gang_body, MAX_WAIT_S)
+    lot_spec = TaskSpec(millicores=500, run_ms=30, label='lot 7')
+    hold_body = {'kind': 'request', 'urgency': 'high', **_tasks(1, lot_spec)}
+    yield JobRequest(
+        'lot hold', 'hold-1', {**hold_body, 'idempotent': False}, MAX_WAIT_S
+    )
+    watch_spec = TaskSpec(millicores=500, run_ms=3_600_000, label='watch')
+    watch_body = {'kind': 'service', 'urgency': 'high', **_tasks(4, watch_spec)}
+    yield JobRequest('lot watch', 'watch-1', watch_body, 0)
 
 
-def _tasks(count: int, needs: Needs) -> dict[str, Any]:
-    return {'tasks': [_task(number, needs) for number in range(count)]}
+def _tasks(count: int, spec: TaskSpec) -> dict[str, Any]:
+    return {'tasks': [_task(number, spec) for number in range(count)]}
 
 
-def _task(number: int, needs: Needs) -> dict[str, Any]:
-    payload = {'run_ms': needs.run_ms, 'label': f'{needs.label} {number}'}
+def _task(number: int, spec: TaskSpec) -> dict[str, Any]:
+    payload = {'run_ms': spec.run_ms, 'label': f'{spec.label} {number}'}
     return {
-        'millicores': needs.millicores,
-        'memory_bytes': MEMORY,
-        'estimate_ms': needs.run_ms,
+        'millicores': spec.millicores,
+        'memory_bytes': TASK_MEMORY_BYTES,
+        'estimate_ms': spec.run_ms,
         'payload': json.dumps(payload),
     }
 
 
-def _outcome_of(answered: dict[str, Any]) -> str:
-    if answered['outcome'] == 'job':
-        return str(answered['state'])
-    return str(answered['outcome'])
+def _outcome_of(response: dict[str, Any]) -> str:
+    if response['outcome'] == 'job':
+        return str(response['state'])
+    return str(response['outcome'])
 
 
 def _check(
-    running: cell.Cell, morning: Morning, killed: dict[str, int]
+    running_cell: cell.Cell, workload: Workload, killed_at: dict[str, int]
 ) -> list[str]:
     """Return what was lost, ran twice or went over capacity."""
-    ran = audit.read(running.history, killed)
-    faults = audit.check_overlaps(ran)
-    faults.extend(audit.check_capacity(ran, cell.CAPACITY))
-    jobs = {told.request_id: told for told in morning.told}
-    faults.extend(
-        f'{told.request_id} is lost: {told.outcome}'
-        for told in jobs.values()
-        if told.outcome not in {'completed', 'accepted'}
+    runs = audit.read(running_cell.history, killed_at)
+    violations = audit.check_overlaps(runs)
+    violations.extend(audit.check_capacity(runs, cell.CAPACITY))
+    jobs = {report.request_id: report for report in workload.reports}
+    violations.extend(
+        f'{report.request_id} is lost: {report.outcome}'
+        for report in jobs.values()
+        if report.outcome not in {'completed', 'accepted'}
     )
-    faults.extend(_check_answers(morning))
-    holds = [run for run in ran if run.job == jobs['hold-1'].body.get('job')]
+    violations.extend(_check_answers(workload))
+    holds = [run for run in runs if run.job == jobs['hold-1'].body.get('job')]
     if len(holds) > 1:
-        faults.append(f'the lot hold ran {len(holds)} times')
-    return faults
+        violations.append(f'the lot hold ran {len(holds)} times')
+    return violations
 
 
-def _check_answers(morning: Morning) -> Iterator[str]:
+def _check_answers(workload: Workload) -> Iterator[str]:
     """Yield what a caller received that was not the answer to its own."""
-    for told in morning.told:
-        if told.kind != 'swatch match' or told.outcome != 'completed':
+    for report in workload.reports:
+        if report.kind != 'swatch match' or report.outcome != 'completed':
             continue
-        number = told.request_id.partition('-')[2]
-        answer = json.loads(told.body['tasks'][0]['answer'])
+        number = report.request_id.partition('-')[2]
+        answer = json.loads(report.body['tasks'][0]['answer'])
         if answer['label'] != f'match {number} 0':
-            yield f'{told.request_id} got another answer'
+            yield f'{report.request_id} got another answer'
 
 
-def _show(running: cell.Cell, morning: Morning, console: Console) -> None:
-    table = Table(*_COLUMNS)
-    for kind in dict.fromkeys(told.kind for told in morning.told):
-        table.add_row(*_row(kind, morning.told))
+def _print_summary(
+    running_cell: cell.Cell, workload: Workload, console: Console
+) -> None:
+    table = Table(*_TABLE_COLUMNS)
+    for kind in dict.fromkeys(report.kind for report in workload.reports):
+        table.add_row(*_summary_row(kind, workload.reports))
     console.print(table)
-    shown = _most_tried(morning)
-    console.print(f'time line of {shown.request_id}')
-    job = shown.body['job']
-    for line in _collect_timeline(running, job)[:_LINES_SHOWN]:
-        at = clock.wall_of(line.clock) / MS_PER_S
-        shown_at = time.strftime('%H:%M:%S', time.gmtime(at))
-        told = (line.process, line.what, line.attempt, line.detail)
-        console.print(shown_at, *told)
+    selected = _most_attempted(workload)
+    console.print(f'time line of {selected.request_id}')
+    job = selected.body['job']
+    for line in _collect_timeline(running_cell, job)[:_MAX_TIMELINE_LINES]:
+        wall_s = clock.wall_of(line.clock) / MS_PER_S
+        time_of_day = time.strftime('%H:%M:%S', time.gmtime(wall_s))
+        fields = (line.process, line.what, line.attempt, line.detail)
+        console.print(time_of_day, *fields)
 
 
-def _collect_timeline(running: cell.Cell, job: str) -> list[journal.Line]:
+def _collect_timeline(running_cell: cell.Cell, job: str) -> list[journal.Line]:
     """Return the events of all processes about a job, in causal order."""
     answers = [
-        running.get(f'/v1/timeline?job={job}', entry)
-        for entry, _ in enumerate(running.entry_addresses)
+        running_cell.get(f'/v1/timeline?job={job}', entry)
+        for entry, _ in enumerate(running_cell.entry_addresses)
     ]
     lines = [line for answer in answers for line in answer['lines']]
     return journal.merge(msgspec.convert(lines, type=list[journal.Line]))
 
 
-def _most_tried(morning: Morning) -> Told:
+def _most_attempted(workload: Workload) -> JobReport:
     """Return the swatch match that needed the most attempts.
 
     Of several the latest: a leader that was killed since took the events
     that it kept in memory with it.
     """
-    matches = [one for one in morning.told if one.kind == 'swatch match']
-    return max(matches, key=_attempts_and_turn)
+    matches = [
+        report for report in workload.reports if report.kind == 'swatch match'
+    ]
+    return max(matches, key=_attempts_and_number)
 
 
-def _attempts_and_turn(told: Told) -> tuple[int, int]:
-    turn = int(told.request_id.partition('-')[2])
-    return told.body['tasks'][0]['attempts'], turn
+def _attempts_and_number(report: JobReport) -> tuple[int, int]:
+    number = int(report.request_id.partition('-')[2])
+    return report.body['tasks'][0]['attempts'], number
 
 
-def _row(kind: str, told: list[Told]) -> list[str]:
-    own = [one for one in told if one.kind == kind]
-    ended = [one for one in own if 'tasks' in one.body]
+def _summary_row(kind: str, reports: list[JobReport]) -> list[str]:
+    matching = [report for report in reports if report.kind == kind]
+    finished = [report for report in matching if 'tasks' in report.body]
     waits = sorted(
-        task['started_at'] - one.body['submitted_at']
-        for one in ended
-        for task in one.body['tasks']
+        task['started_at'] - report.body['submitted_at']
+        for report in finished
+        for task in report.body['tasks']
     )
-    answers = sorted(round(one.took_ms) for one in ended)
-    counted = [
-        sum(one.outcome == outcome for one in own)
+    answers = sorted(round(report.latency_ms) for report in finished)
+    outcome_counts = [
+        sum(report.outcome == outcome for report in matching)
         for outcome in ('completed', 'accepted', 'not_run', 'unknown')
     ]
-    shares = [_share(waits, part) for part in _PERCENTILES]
-    shares.extend(_share(answers, part) for part in _PERCENTILES)
-    return [kind, str(len(own)), *map(str, counted), *shares]
+    percentiles = [_percentile(waits, percent) for percent in _PERCENTILES]
+    percentiles.extend(
+        _percentile(answers, percent) for percent in _PERCENTILES
+    )
+    return [kind, str(len(matching)), *map(str, outcome_counts), *percentiles]
 
 
-def _share(ordered: list[int], part: int) -> str:
+def _percentile(ordered: list[int], percent: int) -> str:
     if not ordered:
         return '-'
-    place = min(len(ordered) - 1, len(ordered) * part // 100)
-    return str(ordered[place])
+    index = min(len(ordered) - 1, len(ordered) * percent // 100)
+    return str(ordered[index])
 
 
 if __name__ == '__main__':
--- a/demo/runner.py
+++ b/demo/runner.py
@@ -14,10 +14,10 @@
 
 _MS_PER_S = 1000
 _NS_PER_MS = 1_000_000
-_CLOCK_BITS = 16
-_FOREVER_MS = 86_400_000.0
-_DEFAULT_MS = 10
-_DUPLICATES = 3
+_COUNTER_BITS = 16
+_BLACKHOLE_RUN_MS = 86_400_000.0
+_DEFAULT_RUN_MS = 10
+_DUPLICATE_COUNT = 3
 _ATTEMPT = 'attempt'
 
 Report = Callable[[dict[str, Any]], Awaitable[None]]
@@ -28,7 +28,7 @@
     return time.monotonic_ns() // _NS_PER_MS
 
 
-class Clock:
+class HybridClock:
     """The hybrid logical clock of a target."""
 
     def __init__(self) -> None:
@@ -37,11 +37,11 @@
 
     def stamp(self) -> int:
         """Return a stamp larger than all before."""
-        wall = (time.time_ns() // _NS_PER_MS) << _CLOCK_BITS
+        wall = (time.time_ns() // _NS_PER_MS) << _COUNTER_BITS
         self._latest = max(self._latest + 1, wall)
         return self._latest
 
-    def witness(self, stamp: int) -> None:
+    def observe(self, stamp: int) -> None:
         """Take note of a stamp that was received."""
         self._latest = max(self._latest, stamp)
 
@@ -53,7 +53,7 @@
     target: str
     path: pathlib.Path | None
 
-    def note(
+    def record(
         self, what: str, start: dict[str, Any], at: int | None = None
     ) -> None:
         """Append a line; at is monotonic ms, now unless given."""
@@ -68,13 +68,13 @@
             'memory_bytes': start.get('memory_bytes', 0),
             'label': _label(start.get('payload', '')),
         }
-        with self.path.open('a') as opened:
-            opened.write(f'{json.dumps(line)}\n')
+        with self.path.open('a') as history_file:
+            history_file.write(f'{json.dumps(line)}\n')
 
 
 def _label(payload: str) -> str:
-    order = json.loads(payload or '{}')
-    return str(order.get('label', ''))
+    options = json.loads(payload or '{}')
+    return str(options.get('label', ''))
 
 
 @dataclasses.dataclass
@@ -82,17 +82,17 @@
     """The session of a target and until when it holds."""
 
     session: str = ''
-    until: int = 0
-    duration: int = 0
+    expires_at: int = 0
+    duration_ms: int = 0
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Return whether attempts may run now."""
-        return bool(self.session) and monotonic_ms() < self.until
+        return bool(self.session) and monotonic_ms() < self.expires_at
 
     def extend(self, sent_at: int) -> None:
         """Count the lease from when a renewal was sent."""
-        if self.holds():
-            self.until = max(self.until, sent_at + self.duration)
+        if self.is_valid():
+            self.expires_at = max(self.expires_at, sent_at + self.duration_ms)
 
 
 class Runner:
@@ -107,111 +107,111 @@
         self, lease: Lease, history: History, behaviour: str, report: Report
     ) -> None:
         """Start with nothing running."""
-        self.clock = Clock()
+        self.clock = HybridClock()
         self.running: dict[str, anyio.CancelScope] = {}
-        self.ends: dict[str, dict[str, Any]] = {}
-        self.group: TaskGroup | None = None
+        self.unacknowledged_ends: dict[str, dict[str, Any]] = {}
+        self.task_group: TaskGroup | None = None
         self.is_leaving = False
-        self._known: set[str] = set()
+        self._known_attempts: set[str] = set()
         self._lease = lease
         self._history = history
         self._behaviour = behaviour
         self._report = report
 
-    async def obey(self, commands: dict[str, Any]) -> None:
+    async def execute(self, commands: dict[str, Any]) -> None:
         """Carry out the commands of one message."""
         for start in commands['start']:
             await self._start(start)
         for stop in commands['stop']:
             await self._stop(stop[_ATTEMPT])
         for attempt in commands['acknowledge']:
-            self.ends.pop(attempt, None)
+            self.unacknowledged_ends.pop(attempt, None)
 
     def end_session(self, at: int) -> None:
         """Stop everything and forget the session."""
         for attempt, scope in self.running.items():
             scope.cancel()
-            self._history.note('end', {_ATTEMPT: attempt}, at)
+            self._history.record('end', {_ATTEMPT: attempt}, at)
         self.running.clear()
-        self._known.clear()
-        self.ends.clear()
+        self._known_attempts.clear()
+        self.unacknowledged_ends.clear()
 
     async def _start(self, start: dict[str, Any]) -> None:
         attempt = start[_ATTEMPT]
         stamped = {_ATTEMPT: attempt, 'clock': self.clock.stamp()}
-        if attempt in self._known:
+        if attempt in self._known_attempts:
             # A repeated start: say again what is known, run nothing.
             if attempt in self.running:
                 await self._report({'started': [stamped]})
             return
-        self._known.add(attempt)
+        self._known_attempts.add(attempt)
         if self.is_leaving:
             # It crossed the notice on its way; it can run elsewhere at once.
             await self._finish(attempt, 'never_started')
             return
         self.running[attempt] = anyio.CancelScope()
-        self._history.note('start', start)
+        self._history.record('start', start)
         await self._report({'started': [stamped]})
-        if self.group is not None:
-            self.group.start_soon(self._run, start)
+        if self.task_group is not None:
+            self.task_group.start_soon(self._run, start)
 
     async def _stop(self, attempt: str) -> None:
         scope = self.running.get(attempt)
         if scope is not None:
             scope.cancel()
-        elif attempt not in self._known:
-            self._known.add(attempt)
+        elif attempt not in self._known_attempts:
+            self._known_attempts.add(attempt)
             await self._finish(attempt, 'never_started')
 
     async def _run(self, start: dict[str, Any]) -> None:
         attempt = start[_ATTEMPT]
         session = self._lease.session
-        order = json.loads(start['payload'] or '{}')
+        options = json.loads(start['payload'] or '{}')
         scope = self.running.get(attempt)
         if scope is None:
             return
-        await self._report_usage(start, order)
+        await self._report_usage(start, options)
         with scope:
-            await anyio.sleep(self._run_ms(order) / _MS_PER_S)
-        if self._lease.session != session or not self._lease.holds():
+            await anyio.sleep(self._run_ms(options) / _MS_PER_S)
+        if self._lease.session != session or not self._lease.is_valid():
             return
         self.running.pop(attempt)
-        self._history.note('end', start)
+        self._history.record('end', start)
         if scope.cancelled_caught:
             await self._finish(attempt, 'stopped', checkpoint='half way')
-        elif self._must_fail(order):
+        elif self._must_fail(options):
             await self._finish(attempt, 'failed', detail='as told')
         else:
             await self._finish(attempt, 'completed', answer=start['payload'])
 
     async def _report_usage(
-        self, start: dict[str, Any], order: dict[str, Any]
+        self, start: dict[str, Any], options: dict[str, Any]
     ) -> None:
-        if 'use_bytes' not in order:
+        if 'use_bytes' not in options:
             return
         usage = {
             _ATTEMPT: start[_ATTEMPT],
             'millicores': start['millicores'],
-            'memory_bytes': order['use_bytes'],
+            'memory_bytes': options['use_bytes'],
         }
         await self._report({'usage': [usage]})
 
-    def _must_fail(self, order: dict[str, Any]) -> bool:
-        return self._behaviour == 'fail' or bool(order.get('fail'))
+    def _must_fail(self, options: dict[str, Any]) -> bool:
+        return self._behaviour == 'fail' or bool(options.get('fail'))
 
-    def _run_ms(self, order: dict[str, Any]) -> float:
+    def _run_ms(self, options: dict[str, Any]) -> float:
         if self._behaviour == 'blackhole':
-            return _FOREVER_MS
+            return _BLACKHOLE_RUN_MS
         if self._behaviour == 'fail':
             return 1
-        return float(order.get('run_ms', _DEFAULT_MS))
+        return float(options.get('run_ms', _DEFAULT_RUN_MS))
 
-    async def _finish(self, attempt: str, reason: str, **more: str) -> None:
+    async def _finish(self, attempt: str, reason: str, **fields: str) -> None:
         if self._behaviour == 'late':
             await anyio.sleep(1)
-        ended: dict[str, Any] = {_ATTEMPT: attempt, 'reason': reason, **more}
+        ended: dict[str, Any] = {_ATTEMPT: attempt, 'reason': reason, **fields}
         ended['clock'] = self.clock.stamp()
-        self.ends[attempt] = ended
-        repeats = _DUPLICATES if self._behaviour == 'duplicate' else 1
-        for _ in range(repeats):
+        self.unacknowledged_ends[attempt] = ended
+        report_count = _DUPLICATE_COUNT if self._behaviour == 'duplicate' else 1
+        for _ in range(report_count):
             await self._report({'ended': [ended]})
--- a/demo/stand_in.py
+++ b/demo/stand_in.py
@@ -22,17 +22,17 @@
 
 from demo import runner
 
-RENEW_S = 0.5
-SILENCE_S = 1.5
-WATCH_S = 0.05
-RECONNECT_S = 0.2
-RESEND_S = 1.0
+RENEW_INTERVAL_S = 0.5
+RECEIVE_TIMEOUT_S = 1.5
+LEASE_CHECK_INTERVAL_S = 0.05
+RECONNECT_DELAY_S = 0.2
+RESEND_INTERVAL_S = 1.0
 # A leaving target answers the starts that are still under way.
-LINGER_MS = 1000
-_MESSAGE_BYTES = 8_388_608
-_RENEWALS_KEPT = 100
+MIN_LEAVE_MS = 1000
+_MAX_MESSAGE_BYTES = 8_388_608
+_MAX_TRACKED_RENEWALS = 100
 
-_BROKEN = (
+_CONNECTION_ERRORS = (
     httpx_ws.HTTPXWSException,
     httpx.HTTPError,
     OSError,
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class TargetConfig:
     """What the target is; behaviour is one of the runner's."""
 
     name: str
@@ -59,26 +59,26 @@
 class Target:
     """Holds one session at a time and carries its messages."""
 
-    def __init__(self, plan: Plan) -> None:
+    def __init__(self, config: TargetConfig) -> None:
         """Start without a session."""
-        self.plan = plan
+        self.config = config
         self.is_stopped = anyio.Event()
         self._lease = runner.Lease()
-        self._history = runner.History(plan.name, plan.history)
+        self._history = runner.History(config.name, config.history)
         self._runner = runner.Runner(
-            self._lease, self._history, plan.behaviour, self._report
+            self._lease, self._history, config.behaviour, self._report
         )
         self._ended_session = ''
-        self._left_at = 0
-        self._sent_at: dict[int, int] = {}
+        self._leaving_since = 0
+        self._renewal_sent_at: dict[int, int] = {}
         self._sequence = 0
         self._socket: httpx_ws.AsyncWebSocketSession | None = None
 
     async def run(self) -> None:
         """Connect for ever, until a planned stop is over."""
-        self._history.note('join', {'attempt': ''})
+        self._history.record('join', {'attempt': ''})
         async with anyio.create_task_group() as group:
-            self._runner.group = group
+            self._runner.task_group = group
             group.start_soon(self._watch_lease)
             group.start_soon(self._leave_on_signal)
             group.start_soon(self._connect)
@@ -86,16 +86,16 @@
             group.cancel_scope.cancel()
 
     async def _connect(self) -> None:
-        entries = list(self.plan.entries)
+        entries = list(self.config.entries)
         while True:
             address = entries.pop(0)
             entries.append(address)
             try:
                 await self._serve(address)
-            except* _BROKEN:
+            except* _CONNECTION_ERRORS:
                 self._socket = None
             self._socket = None
-            await anyio.sleep(RECONNECT_S)
+            await anyio.sleep(RECONNECT_DELAY_S)
 
     async def _serve(self, address: str) -> None:
         async with (
@@ -103,30 +103,32 @@
             httpx_ws.aconnect_ws(  # type: ignore[var-annotated]
                 f'http://{address}/v1/target',
                 client,
-                max_message_size_bytes=_MESSAGE_BYTES,
+                max_message_size_bytes=_MAX_MESSAGE_BYTES,
                 keepalive_ping_interval_seconds=None,
             ) as socket,
         ):
-            await self._converse(socket)
+            await self._run_session(socket)
 
-    async def _converse(self, socket: httpx_ws.AsyncWebSocketSession) -> None:
-        greeted_at = runner.monotonic_ms()
-        resumed = self._lease.session
+    async def _run_session(
+        self, socket: httpx_ws.AsyncWebSocketSession
+    ) -> None:
+        hello_sent_at = runner.monotonic_ms()
+        resumed_session = self._lease.session
         await socket.send_text(json.dumps(self._hello()))
         welcome = await self._receive(socket)
         if welcome['type'] != 'welcome':
             raise OSError(welcome.get('reason', 'no welcome'))
-        if self._lease.session != resumed:
+        if self._lease.session != resumed_session:
             # Everything was stopped meanwhile: that session must not go on.
             raise OSError('the lease lapsed while the session was resumed')
-        if not resumed:
+        if not resumed_session:
             self._lease.session = welcome['session']
-            self._lease.duration = welcome['lease_ms']
-            self._lease.until = greeted_at + welcome['lease_ms']
+            self._lease.duration_ms = welcome['lease_ms']
+            self._lease.expires_at = hello_sent_at + welcome['lease_ms']
         self._socket = socket
         async with anyio.create_task_group() as group:
             group.start_soon(self._renew)
-            group.start_soon(self._repeat_ends)
+            group.start_soon(self._resend_ends)
             await self._listen(socket)
             group.cancel_scope.cancel()
 
@@ -134,10 +136,10 @@
         hello: dict[str, Any] = {
             'type': 'hello',
             'version': 1,
-            'target': self.plan.name,
-            'data_centre': self.plan.data_centre,
-            'rack': self.plan.rack,
-            'capacity': self.plan.capacity,
+            'target': self.config.name,
+            'data_centre': self.config.data_centre,
+            'rack': self.config.rack,
+            'capacity': self.config.capacity,
             'nonce': secrets.token_hex(8),
             'clock': self._runner.clock.stamp(),
         }
@@ -151,11 +153,11 @@
         self, socket: httpx_ws.AsyncWebSocketSession
     ) -> dict[str, Any]:
         try:
-            text = await socket.receive_text(timeout=SILENCE_S)
+            text = await socket.receive_text(timeout=RECEIVE_TIMEOUT_S)
         except TimeoutError as error:
             raise OSError('the entry is silent') from error
         message: dict[str, Any] = json.loads(text)
-        self._runner.clock.witness(message.get('clock', 0))
+        self._runner.clock.observe(message.get('clock', 0))
         return message
 
     async def _listen(self, socket: httpx_ws.AsyncWebSocketSession) -> None:
@@ -165,32 +167,36 @@
             kind = message['type']
             if kind in {'move', 'error'}:
                 return
-            await self._take(kind, message)
+            await self._handle_message(kind, message)
 
-    async def _take(self, kind: str, message: dict[str, Any]) -> None:
+    async def _handle_message(self, kind: str, message: dict[str, Any]) -> None:
         if kind == 'renewed':
-            sent_at = self._sent_at.pop(message['sequence'], 0)
+            sent_at = self._renewal_sent_at.pop(message['sequence'], 0)
             self._lease.extend(sent_at)
-        elif kind == 'commands' and self._lease.holds():
-            await self._runner.obey(message)
+        elif kind == 'commands' and self._lease.is_valid():
+            await self._runner.execute(message)
         elif kind == 'expired':
             self._end_session(runner.monotonic_ms())
 
     async def _renew(self) -> None:
         while True:
             self._sequence += 1
-            self._sent_at[self._sequence] = runner.monotonic_ms()
-            self._sent_at.pop(self._sequence - _RENEWALS_KEPT, None)
+            self._renewal_sent_at[self._sequence] = runner.monotonic_ms()
+            self._renewal_sent_at.pop(
+                self._sequence - _MAX_TRACKED_RENEWALS, None
+            )
             await self._send({'type': 'renew', 'sequence': self._sequence})
             if self._runner.is_leaving:
                 await self._send({'type': 'leave'})
-            await anyio.sleep(RENEW_S)
+            await anyio.sleep(RENEW_INTERVAL_S)
 
-    async def _repeat_ends(self) -> None:
+    async def _resend_ends(self) -> None:
         while True:
-            if self._runner.ends:
-                await self._report({'ended': list(self._runner.ends.values())})
-            await anyio.sleep(RESEND_S)
+            if self._runner.unacknowledged_ends:
+                await self._report(
+                    {'ended': list(self._runner.unacknowledged_ends.values())}
+                )
+            await anyio.sleep(RESEND_INTERVAL_S)
 
     async def _send(self, message: dict[str, Any]) -> None:
         if self._socket is None:
@@ -198,28 +204,28 @@
         message['clock'] = self._runner.clock.stamp()
         try:
             await self._socket.send_text(json.dumps(message))
-        except _BROKEN:
+        except _CONNECTION_ERRORS:
             self._socket = None
 
-    async def _report(self, parts: dict[str, Any]) -> None:
-        await self._send({'type': 'report', **parts})
+    async def _report(self, fields: dict[str, Any]) -> None:
+        await self._send({'type': 'report', **fields})
 
     async def _watch_lease(self) -> None:
         while True:
-            await anyio.sleep(WATCH_S)
-            if self._lease.session and not self._lease.holds():
+            await anyio.sleep(LEASE_CHECK_INTERVAL_S)
+            if self._lease.session and not self._lease.is_valid():
                 # Nothing has run since the lease lapsed: this check comes
                 # before any task goes on, also after a pause.
-                self._end_session(self._lease.until)
-            if self._may_stop():
+                self._end_session(self._lease.expires_at)
+            if self._can_stop():
                 self.is_stopped.set()
 
-    def _may_stop(self) -> bool:
+    def _can_stop(self) -> bool:
         if not self._runner.is_leaving:
             return False
-        is_busy = self._runner.running or self._runner.ends
-        waited_ms = runner.monotonic_ms() - self._left_at
-        return not is_busy and waited_ms >= LINGER_MS
+        is_busy = self._runner.running or self._runner.unacknowledged_ends
+        leaving_ms = runner.monotonic_ms() - self._leaving_since
+        return not is_busy and leaving_ms >= MIN_LEAVE_MS
 
     def _end_session(self, at: int) -> None:
         self._runner.end_session(at)
@@ -230,8 +236,8 @@
         with anyio.open_signal_receiver(signal.SIGTERM) as signals:
             async for _ in signals:
                 self._runner.is_leaving = True
-                self._left_at = runner.monotonic_ms()
-                self._history.note('leave', {'attempt': ''})
+                self._leaving_since = runner.monotonic_ms()
+                self._history.record('leave', {'attempt': ''})
                 await self._send({'type': 'leave'})
 
 
@@ -247,7 +253,7 @@
     history: str = '',
 ) -> None:
     """Run a stand-in target until a planned stop."""
-    plan = Plan(
+    config = TargetConfig(
         name=name,
         data_centre=data_centre,
         rack=rack,
@@ -260,11 +266,11 @@
         behaviour=behaviour,
         history=pathlib.Path(history) if history else None,
     )
-    anyio.run(_run, plan, backend='asyncio')
+    anyio.run(_run, config, backend='asyncio')
 
 
-async def _run(plan: Plan) -> None:
-    await Target(plan).run()
+async def _run(config: TargetConfig) -> None:
+    await Target(config).run()
 
 
 if __name__ == '__main__':
