--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A cell on one machine: stand-in targets, a launcher, a morning."""
+"""Runs a cell on one machine with stand-in targets, for demo and tests."""
--- a/demo/audit.py
+++ b/demo/audit.py
@@ -1,4 +1,4 @@
-"""Reads what the targets really ran and checks it."""
+"""Reads the history that targets write and checks it for violations."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 import pathlib
 from collections.abc import Iterable
 
+# The end time of a run that has not ended: 2**62, after every real time.
 NEVER = 4_611_686_018_427_387_904
 
 
 @dataclasses.dataclass(frozen=True)
 class Run:
-    """One attempt as its target saw it; times are monotonic ms."""
+    """One attempt as its target recorded it; times are monotonic ms."""
 
     attempt: str
     target: str
@@ -25,18 +26,18 @@
 
     @property
     def task(self) -> str:
-        """Return the task of the attempt."""
+        """Return the id of the task that the attempt belongs to."""
         return self.attempt.split('/')[0]
 
     @property
     def job(self) -> str:
-        """Return the job of the attempt."""
+        """Return the id of the job that the attempt belongs to."""
         return self.attempt.split('.')[0]
 
 
 @dataclasses.dataclass(frozen=True)
 class Capacity:
-    """What one target can hold at a time."""
+    """The resources and slots of one target."""
 
     millicores: int
     slots: int
@@ -44,9 +45,11 @@
 
 
 def read(path: pathlib.Path, killed_at: dict[str, int]) -> list[Run]:
-    """Return the runs of a history; killed says when targets were killed.
+    """Return the runs recorded in a history file.
 
-    A run without an end lasted until its target was killed, or goes on.
+    killed_at maps a killed target to the monotonic ms of the kill. A run
+    without a recorded end ended when its target was killed; if the target
+    was not killed, the run ends at NEVER.
     """
     lines = [json.loads(line) for line in path.read_text().splitlines()]
     ends = {
@@ -73,7 +76,10 @@
 
 
 def check_overlaps(runs: Iterable[Run]) -> list[str]:
-    """Return the tasks that ran in two places at once, or one run twice."""
+    """Return a message for each violation of exclusive execution.
+
+    Two runs of a task must not overlap, and no attempt may run twice.
+    """
     ordered = sorted(runs, key=lambda run: (run.task, run.started_at))
     violations: list[str] = []
     for task, group in itertools.groupby(ordered, key=lambda run: run.task):
@@ -85,12 +91,12 @@
         )
         attempts = [run.attempt for run in task_runs]
         if len(attempts) > len(set(attempts)):
-            violations.append(f'an attempt of {task} was run twice')
+            violations.append(f'an attempt of {task} ran twice')
     return violations
 
 
 def check_capacity(runs: Iterable[Run], capacity: Capacity) -> list[str]:
-    """Return the targets that were given more than they can hold."""
+    """Return a message for each target whose peak load exceeds capacity."""
     ordered = sorted(runs, key=lambda run: run.target)
     violations: list[str] = []
     for target, group in itertools.groupby(ordered, key=lambda run: run.target):
@@ -100,13 +106,13 @@
             or peak.slots > capacity.slots
             or peak.memory_bytes > capacity.memory_bytes
         ):
-            violations.append(f'{target} was given {peak}')
+            violations.append(f'{target} exceeded its capacity: peak {peak}')
     return violations
 
 
 def _peak(runs: list[Run]) -> Capacity:
-    # Ends come before starts of the same millisecond: such a start was
-    # decided after the end was known.
+    # Within one millisecond, ends sort before starts: the scheduler placed
+    # such a start after it had learned of the end.
     changes = sorted(
         [(run.ended_at, 0, -1, run) for run in runs]
         + [(run.started_at, 1, 1, run) for run in runs],
--- a/demo/cell.py
+++ b/demo/cell.py
@@ -1,6 +1,6 @@
-"""Starts a cell of separate processes on loopback addresses.
+"""Launches a cell as separate processes on loopback addresses.
 
-For tests and the demo: programs of the system start no other programs.
+Used by tests and the demo only: the system's own programs start no others.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 _STOP_TIMEOUT_S = 10.0
 _REQUEST_TIMEOUT_S = 15
 _FIRST_PORT = 10_000
-_LAST_PORT = 30_000
+_END_PORT = 30_000
 _PORT_BLOCK_SIZE = 500
 
 
 class CellError(Exception):
-    """The cell did not do what it was started for."""
+    """The cell or one of its processes is not in the expected state."""
 
 
 @dataclasses.dataclass
 class Process:
-    """One process of the cell."""
+    """One process of the cell, its command and its log file."""
 
     name: str
     command: list[str]
@@ -51,7 +51,7 @@
     killed_at: int = 0
 
     def start(self) -> None:
-        """Start the process, appending to its log."""
+        """Start the process with its output appended to the log file."""
         with self.log.open('ab') as log:
             self.running = subprocess.Popen(
                 self.command,
@@ -62,24 +62,28 @@
             )
 
     def start_again(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         if self.running is None or self.running.poll() is not None:
             self.start()
 
     def signal(self, number: int) -> None:
-        """Send a signal if the process runs."""
+        """Send a signal to the process if it is running."""
         if self.running is not None and self.running.poll() is None:
             self.running.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once and wait for it."""
+        """Send SIGKILL, wait for the exit and record its time."""
         self.signal(signal.SIGKILL)
         if self.running is not None:
             self.running.wait()
         self.killed_at = runner.monotonic_ms()
 
     def stop(self, seconds: float = _STOP_TIMEOUT_S) -> int:
-        """End the process in order; returns its exit code."""
+        """Send SIGTERM and return the exit code.
+
+        A process that still runs after the given seconds is killed, and -1
+        is returned.
+        """
         self.signal(signal.SIGTERM)
         if self.running is None:
             return 0
@@ -92,7 +96,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """How large a cell is and where its files are."""
+    """The size of a cell, its options and the folder of its files.
+
+    spares counts the replicas that are started but are not founders;
+    rack_size the targets of a rack. behaviours maps the number of a target
+    to one of the behaviours of runner.Runner; other targets obey.
+    """
 
     folder: pathlib.Path
     replicas: int = 3
@@ -107,10 +116,10 @@
 
 
 class Cell:
-    """The processes of a cell, by name."""
+    """Starts, queries and stops the processes of a cell."""
 
     def __init__(self, plan: Plan) -> None:
-        """Choose addresses and commands; start starts the processes."""
+        """Choose the addresses; no process is started yet."""
         self.plan = plan
         self.processes: dict[str, Process] = {}
         count = plan.replicas + plan.spares
@@ -118,12 +127,13 @@
         self.replica_addresses = [f'127.0.0.1:{port}' for port in ports[:count]]
         self.entry_addresses = [f'127.0.0.1:{port}' for port in ports[count:]]
         self.history = plan.folder / 'history.jsonl'
-        # What replicas and entries dial; tests put relays in between.
+        # The addresses given to the processes as those of the replicas and
+        # entries. Tests replace them by relays to inject network faults.
         self.dialled_replicas = list(self.replica_addresses)
         self.dialled_entries = list(self.entry_addresses)
 
     def start(self) -> None:
-        """Start all processes and wait until the targets have sessions."""
+        """Start all processes and wait until all targets have sessions."""
         self.plan.folder.mkdir(parents=True, exist_ok=True)
         for number in range(self.plan.replicas):
             self.init_replica(number)
@@ -136,7 +146,7 @@
         self.wait_ready(self.plan.targets)
 
     def init_replica(self, number: int) -> None:
-        """Write the identity of a founding replica."""
+        """Initialize the data folder of a founding replica."""
         founders = ','.join(
             self._founder_option(index) for index in range(self.plan.replicas)
         )
@@ -155,7 +165,7 @@
         )
 
     def add_replica(self, number: int) -> Process:
-        """Return the process of a replica, not started."""
+        """Add a replica without starting it; returns its process."""
         name = f'replica-{number}'
         data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         return self._add(
@@ -181,7 +191,7 @@
         )
 
     def add_entry(self, number: int) -> Process:
-        """Return the process of an entry, not started."""
+        """Add an entry without starting it; returns its process."""
         name = f'entry-{number}'
         data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
         return self._add(
@@ -202,7 +212,11 @@
         )
 
     def add_target(self, number: int) -> Process:
-        """Return the process of a target, not started."""
+        """Add a target without starting it; returns its process.
+
+        Targets with successive numbers try the entries in rotated order, to
+        spread their sessions.
+        """
         name = f'target-{number}'
         entries = self.dialled_entries
         offset = number % len(entries)
@@ -230,7 +244,10 @@
         )
 
     def wait_ready(self, target_count: int) -> None:
-        """Wait until every entry is ready and that many targets serve."""
+        """Wait until every entry lists at least target_count live sessions.
+
+        Raises CellError after READY_TIMEOUT_S.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             if self._is_ready(target_count):
@@ -239,7 +256,10 @@
         raise CellError(f'the cell was not ready within {READY_TIMEOUT_S} s')
 
     def get(self, path: str, entry: int = 0) -> dict[str, Any]:
-        """Return what an entry answers to a GET."""
+        """Return the JSON body of an entry's response to a GET request.
+
+        Raises httpx.HTTPError if the request fails.
+        """
         url = f'http://{self.entry_addresses[entry]}{path}'
         response: dict[str, Any] = httpx.get(
             url, timeout=_REQUEST_TIMEOUT_S
@@ -247,7 +267,10 @@
         return response
 
     def leader(self) -> str:
-        """Return the name of the process that leads."""
+        """Return the name of the leading replica.
+
+        Raises CellError if none is known within READY_TIMEOUT_S.
+        """
         deadline = time.monotonic() + READY_TIMEOUT_S
         while time.monotonic() < deadline:
             try:
@@ -257,10 +280,10 @@
             if leader:
                 return str(leader)
             time.sleep(_POLL_INTERVAL_S)
-        raise CellError('no leader was found')
+        raise CellError('no leader was elected before the timeout')
 
     def stop(self) -> None:
-        """End all processes, targets first."""
+        """Kill all processes, targets first, and wait for their exit."""
         for process in reversed(self.processes.values()):
             process.signal(signal.SIGCONT)
             process.signal(signal.SIGKILL)
@@ -294,16 +317,16 @@
 
 
 def program_command(name: str) -> list[str]:
-    """Return the command of one of the system's programs."""
+    """Return the command that runs one of the system's programs."""
     return [sys.executable, '-m', f'mulberrywalk.{name}.program']
 
 
 def free_ports(count: int) -> list[int]:
-    """Return loopback ports that nothing listens on.
+    """Return loopback ports that are not in use.
 
-    They lie below the range that the kernel gives to outgoing connections,
-    so that none of those takes one before its process listens. Launchers
-    that run side by side start at different places of the range.
+    They lie below the kernel's range of ephemeral ports, so that no outgoing
+    connection takes one before its process listens. Launchers that run in
+    parallel start at different blocks of the range, chosen by process id.
     """
     return list(itertools.islice(filter(_is_free, _PORTS), count))
 
@@ -318,9 +341,9 @@
 
 
 def _cycle_ports() -> Iterator[int]:
-    block_count = (_LAST_PORT - _FIRST_PORT) // _PORT_BLOCK_SIZE
+    block_count = (_END_PORT - _FIRST_PORT) // _PORT_BLOCK_SIZE
     start = _FIRST_PORT + os.getpid() % block_count * _PORT_BLOCK_SIZE
-    ordered = [*range(start, _LAST_PORT), *range(_FIRST_PORT, start)]
+    ordered = [*range(start, _END_PORT), *range(_FIRST_PORT, start)]
     return itertools.cycle(ordered)
 
 
--- a/demo/morning.py
+++ b/demo/morning.py
@@ -1,7 +1,7 @@
-"""The main job: a working morning on one machine, with failures.
+"""The demo: a morning's workload on a cell on one machine, with failures.
 
-Starts a cell, submits every kind of work through the public interface,
-kills the leader and a target half-way, and checks what really ran.
+Starts a cell, submits every kind of job through the public interface, kills
+the leader and a target during the workload, and checks the targets' history.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 TASK_MEMORY_BYTES = 1_073_741_824
 MATCH_COUNT = 120
 MATCH_INTERVAL_S = 0.15
-SORT_TASKS = 200
-GANG_TASKS = 12
+SORT_TASK_COUNT = 200
+GANG_TASK_COUNT = 12
 MS_PER_S = 1000
 MAX_WAIT_S = 60.0
 _MAX_SUBMISSIONS = 12
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TaskSpec:
-    """What each task of a job needs, and the label that its answer bears."""
+    """The resources, run time and label of each task of a job."""
 
     millicores: int
     run_ms: int
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class JobRequest:
-    """A job to submit, and for how many seconds to hold the answer."""
+    """A job to submit; wait_s is how long the entry may hold the answer."""
 
     kind: str
     request_id: str
@@ -76,7 +76,10 @@
 
 @dataclasses.dataclass
 class JobReport:
-    """What a caller was told about one job in the end, and how soon."""
+    """The last answer that a caller received about one job.
+
+    latency_ms counts from the first submission to this answer.
+    """
 
     kind: str
     request_id: str
@@ -86,16 +89,16 @@
 
 
 class Workload:
-    """Submits the morning's work and collects what callers are told."""
+    """Submits jobs and collects the last answer to each."""
 
     def __init__(self, running_cell: cell.Cell) -> None:
-        """Work through the entries of a running cell."""
+        """Start without reports; jobs go to the entries of a running cell."""
         self.reports: list[JobReport] = []
         self._cell = running_cell
         self._lock = threading.Lock()
 
     def submit(self, request: JobRequest) -> None:
-        """Submit a job and ask until it has ended or time is up."""
+        """Submit a job, with retries, and store the last answer."""
         job = {'request_id': request.request_id, 'team': TEAM, **request.body}
         started_at = time.monotonic()
         response = self._submit_until_known(job, request.wait_s)
@@ -113,7 +116,11 @@
     def _submit_until_known(
         self, job: dict[str, Any], wait_s: float
     ) -> dict[str, Any]:
-        """Resend under the same request id until the answer is known."""
+        """Send the job to each entry in turn until its outcome is known.
+
+        The request id stays the same, so that a retry creates no second job.
+        Gives up after _MAX_SUBMISSIONS and returns the last response.
+        """
         response: dict[str, Any] = {'outcome': 'unknown'}
         entries = self._cell.entry_addresses
         for attempt in range(_MAX_SUBMISSIONS):
@@ -132,7 +139,7 @@
 
 
 def main() -> int:
-    """Run the morning; returns zero when nothing was lost or doubled."""
+    """Run the demo; returns zero if the checks find no violation."""
     shutil.rmtree(_RUN_FOLDER, ignore_errors=True)
     running_cell = cell.Cell(
         cell.Plan(_RUN_FOLDER.absolute(), targets=_TARGET_COUNT)
@@ -144,11 +151,11 @@
         running_cell.start()
         workload = Workload(running_cell)
         killed_at = _run_workload(running_cell, workload, console)
-        violations = _check(running_cell, workload, killed_at)
+        violations = _find_violations(running_cell, workload, killed_at)
         _print_summary(running_cell, workload, console)
     for violation in violations:
         console.print(f'[red]{violation}')
-    console.print(f'lost, doubled or over capacity: {len(violations)}')
+    console.print(f'lost, duplicated or over capacity: {len(violations)}')
     return 1 if violations else 0
 
 
@@ -194,14 +201,14 @@
     sort_body = {
         'kind': 'batch',
         'urgency': 'low',
-        **_tasks(SORT_TASKS, hide_spec),
+        **_tasks(SORT_TASK_COUNT, hide_spec),
     }
     yield JobRequest('hide sort', 'sort-1', sort_body, MAX_WAIT_S)
     press_spec = TaskSpec(millicores=4000, run_ms=1000, label='press')
     gang_body = {
         'kind': 'gang',
         'urgency': 'normal',
-        **_tasks(GANG_TASKS, press_spec),
+        **_tasks(GANG_TASK_COUNT, press_spec),
     }
     yield JobRequest('gang', 'gang-1', gang_body, MAX_WAIT_S)
     lot_spec = TaskSpec(millicores=500, run_ms=30, label='lot 7')
@@ -234,35 +241,39 @@
     return str(response['outcome'])
 
 
-def _check(
+def _find_violations(
     running_cell: cell.Cell, workload: Workload, killed_at: dict[str, int]
 ) -> list[str]:
-    """Return what was lost, ran twice or went over capacity."""
+    """Return a message for each violation.
+
+    Violations are lost jobs, tasks that overlap or ran twice, targets over
+    capacity, and answers that belong to another job.
+    """
     runs = audit.read(running_cell.history, killed_at)
     violations = audit.check_overlaps(runs)
     violations.extend(audit.check_capacity(runs, cell.CAPACITY))
     jobs = {report.request_id: report for report in workload.reports}
     violations.extend(
-        f'{report.request_id} is lost: {report.outcome}'
+        f'{report.request_id} was lost: outcome {report.outcome}'
         for report in jobs.values()
         if report.outcome not in {'completed', 'accepted'}
     )
     violations.extend(_check_answers(workload))
     holds = [run for run in runs if run.job == jobs['hold-1'].body.get('job')]
     if len(holds) > 1:
-        violations.append(f'the lot hold ran {len(holds)} times')
+        violations.append(f'the non-idempotent lot hold ran {len(holds)} times')
     return violations
 
 
 def _check_answers(workload: Workload) -> Iterator[str]:
-    """Yield what a caller received that was not the answer to its own."""
+    """Yield a message for each match that received another job's answer."""
     for report in workload.reports:
         if report.kind != 'swatch match' or report.outcome != 'completed':
             continue
         number = report.request_id.partition('-')[2]
         answer = json.loads(report.body['tasks'][0]['answer'])
         if answer['label'] != f'match {number} 0':
-            yield f'{report.request_id} got another answer'
+            yield f'{report.request_id} received the answer of another job'
 
 
 def _print_summary(
@@ -273,7 +284,7 @@
         table.add_row(*_summary_row(kind, workload.reports))
     console.print(table)
     selected = _most_attempted(workload)
-    console.print(f'time line of {selected.request_id}')
+    console.print(f'timeline of {selected.request_id}')
     job = selected.body['job']
     for line in _collect_timeline(running_cell, job)[:_MAX_TIMELINE_LINES]:
         wall_s = clock.wall_of(line.clock) / MS_PER_S
@@ -283,7 +294,7 @@
 
 
 def _collect_timeline(running_cell: cell.Cell, job: str) -> list[journal.Line]:
-    """Return the events of all processes about a job, in causal order."""
+    """Return the events of a job from all processes, in causal order."""
     answers = [
         running_cell.get(f'/v1/timeline?job={job}', entry)
         for entry, _ in enumerate(running_cell.entry_addresses)
@@ -295,8 +306,9 @@
 def _most_attempted(workload: Workload) -> JobReport:
     """Return the swatch match that needed the most attempts.
 
-    Of several the latest: a leader that was killed since took the events
-    that it kept in memory with it.
+    On a tie, the latest is returned: the timeline of an earlier one may be
+    incomplete, because a leader keeps its events in memory and loses them
+    when it is killed.
     """
     matches = [
         report for report in workload.reports if report.kind == 'swatch match'
@@ -317,14 +329,14 @@
         for report in finished
         for task in report.body['tasks']
     )
-    answers = sorted(round(report.latency_ms) for report in finished)
+    latencies = sorted(round(report.latency_ms) for report in finished)
     outcome_counts = [
         sum(report.outcome == outcome for report in matching)
         for outcome in ('completed', 'accepted', 'not_run', 'unknown')
     ]
     percentiles = [_percentile(waits, percent) for percent in _PERCENTILES]
     percentiles.extend(
-        _percentile(answers, percent) for percent in _PERCENTILES
+        _percentile(latencies, percent) for percent in _PERCENTILES
     )
     return [kind, str(len(matching)), *map(str, outcome_counts), *percentiles]
 
--- a/demo/runner.py
+++ b/demo/runner.py
@@ -1,4 +1,4 @@
-"""Pretended tasks of a stand-in target, and the history that it writes."""
+"""Simulates the tasks of a stand-in target and records their history."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def monotonic_ms() -> int:
-    """Return the monotonic clock, common to all processes of a machine."""
+    """Return the monotonic time in ms, shared by all processes of a host."""
     return time.monotonic_ns() // _NS_PER_MS
 
 
@@ -32,37 +32,44 @@
     """The hybrid logical clock of a target."""
 
     def __init__(self) -> None:
-        """Start before all stamps."""
+        """Start at zero, before every stamp."""
         self._latest = 0
 
     def stamp(self) -> int:
-        """Return a stamp larger than all before."""
+        """Return a stamp greater than all issued or observed before."""
         wall = (time.time_ns() // _NS_PER_MS) << _COUNTER_BITS
         self._latest = max(self._latest + 1, wall)
         return self._latest
 
     def observe(self, stamp: int) -> None:
-        """Take note of a stamp that was received."""
+        """Advance the clock to a received stamp if that is later."""
         self._latest = max(self._latest, stamp)
 
 
 @dataclasses.dataclass(frozen=True)
 class History:
-    """Writes what really ran on a target, for the checkers."""
+    """Appends what ran on a target to a file that demo.audit checks.
+
+    Nothing is written without a path.
+    """
 
     target: str
     path: pathlib.Path | None
 
     def record(
-        self, what: str, start: dict[str, Any], at: int | None = None
+        self, event: str, start: dict[str, Any], at: int | None = None
     ) -> None:
-        """Append a line; at is monotonic ms, now unless given."""
+        """Append an event of an attempt.
+
+        start is the start command of the attempt, or as much of it as is
+        known. at is monotonic ms, by default now.
+        """
         if self.path is None:
             return
         line = {
             'at': monotonic_ms() if at is None else at,
             'target': self.target,
-            'what': what,
+            'what': event,
             _ATTEMPT: start[_ATTEMPT],
             'millicores': start.get('millicores', 0),
             'memory_bytes': start.get('memory_bytes', 0),
@@ -79,34 +86,35 @@
 
 @dataclasses.dataclass
 class Lease:
-    """The session of a target and until when it holds."""
+    """The session of a target and its lease; expires_at is monotonic ms."""
 
     session: str = ''
     expires_at: int = 0
     duration_ms: int = 0
 
     def is_valid(self) -> bool:
-        """Return whether attempts may run now."""
+        """Return whether there is a session whose lease has not expired."""
         return bool(self.session) and monotonic_ms() < self.expires_at
 
     def extend(self, sent_at: int) -> None:
-        """Count the lease from when a renewal was sent."""
+        """Extend a valid lease, counted from when its renewal was sent."""
         if self.is_valid():
             self.expires_at = max(self.expires_at, sent_at + self.duration_ms)
 
 
 class Runner:
-    """Runs the attempts of one session after the other.
+    """Simulates the attempts of a target, for one session at a time.
 
-    Behaviours: obey; fail, which fails every task; duplicate, which reports
-    each end three times; late, which reports ends a second late; blackhole,
-    which confirms starts and never ends anything.
+    The behaviour is one of: obey, which runs tasks as their payload says;
+    fail, which fails every task; duplicate, which reports each end three
+    times; late, which reports each end one second late; blackhole, which
+    confirms starts and never ends an attempt.
     """
 
     def __init__(
         self, lease: Lease, history: History, behaviour: str, report: Report
     ) -> None:
-        """Start with nothing running."""
+        """Start without attempts; report sends fields of a report message."""
         self.clock = HybridClock()
         self.running: dict[str, anyio.CancelScope] = {}
         self.unacknowledged_ends: dict[str, dict[str, Any]] = {}
@@ -119,7 +127,7 @@
         self._report = report
 
     async def execute(self, commands: dict[str, Any]) -> None:
-        """Carry out the commands of one message."""
+        """Execute the commands of one message."""
         for start in commands['start']:
             await self._start(start)
         for stop in commands['stop']:
@@ -128,7 +136,7 @@
             self.unacknowledged_ends.pop(attempt, None)
 
     def end_session(self, at: int) -> None:
-        """Stop everything and forget the session."""
+        """Cancel all attempts, recorded as ended at monotonic ms at."""
         for attempt, scope in self.running.items():
             scope.cancel()
             self._history.record('end', {_ATTEMPT: attempt}, at)
@@ -140,13 +148,15 @@
         attempt = start[_ATTEMPT]
         stamped = {_ATTEMPT: attempt, 'clock': self.clock.stamp()}
         if attempt in self._known_attempts:
-            # A repeated start: say again what is known, run nothing.
+            # A duplicate start runs nothing: it is confirmed again while the
+            # attempt is running.
             if attempt in self.running:
                 await self._report({'started': [stamped]})
             return
         self._known_attempts.add(attempt)
         if self.is_leaving:
-            # It crossed the notice on its way; it can run elsewhere at once.
+            # The start was sent before the leave notice arrived. This reason
+            # lets the scheduler place the attempt elsewhere at once.
             await self._finish(attempt, 'never_started')
             return
         self.running[attempt] = anyio.CancelScope()
--- a/demo/stand_in.py
+++ b/demo/stand_in.py
@@ -1,8 +1,8 @@
-"""A stand-in target: speaks the target protocol, runs pretended tasks.
+"""A stand-in target: speaks the target protocol and simulates tasks.
 
-For tests and the demo only. A task's payload is JSON: run_ms says how long
-it runs, fail that it fails, use_bytes what it reports as used memory. The
-answer repeats the payload, so that a caller can tell its own from another's.
+For tests and the demo only. A task's payload is a JSON object: run_ms is its
+run time, fail makes it fail, use_bytes is the memory use that it reports.
+The answer is the payload, so that a caller can detect another job's answer.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 LEASE_CHECK_INTERVAL_S = 0.05
 RECONNECT_DELAY_S = 0.2
 RESEND_INTERVAL_S = 1.0
-# A leaving target answers the starts that are still under way.
+# A leaving target stays at least this long, to answer starts in transit.
 MIN_LEAVE_MS = 1000
 _MAX_MESSAGE_BYTES = 8_388_608
 _MAX_TRACKED_RENEWALS = 100
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class TargetConfig:
-    """What the target is; behaviour is one of the runner's."""
+    """The settings of a target; behaviour is one of runner.Runner's."""
 
     name: str
     data_centre: str
@@ -57,7 +57,7 @@
 
 
 class Target:
-    """Holds one session at a time and carries its messages."""
+    """Holds one session at a time and exchanges its messages."""
 
     def __init__(self, config: TargetConfig) -> None:
         """Start without a session."""
@@ -75,7 +75,7 @@
         self._socket: httpx_ws.AsyncWebSocketSession | None = None
 
     async def run(self) -> None:
-        """Connect for ever, until a planned stop is over."""
+        """Keep connecting to entries until a planned stop is complete."""
         self._history.record('join', {'attempt': ''})
         async with anyio.create_task_group() as group:
             self._runner.task_group = group
@@ -117,10 +117,11 @@
         await socket.send_text(json.dumps(self._hello()))
         welcome = await self._receive(socket)
         if welcome['type'] != 'welcome':
-            raise OSError(welcome.get('reason', 'no welcome'))
+            raise OSError(welcome.get('reason', 'the entry sent no welcome'))
         if self._lease.session != resumed_session:
-            # Everything was stopped meanwhile: that session must not go on.
-            raise OSError('the lease lapsed while the session was resumed')
+            # The lease expired while the entry answered, and all attempts were
+            # cancelled: the old session must not continue.
+            raise OSError('the lease expired while the session was resumed')
         if not resumed_session:
             self._lease.session = welcome['session']
             self._lease.duration_ms = welcome['lease_ms']
@@ -155,7 +156,7 @@
         try:
             text = await socket.receive_text(timeout=RECEIVE_TIMEOUT_S)
         except TimeoutError as error:
-            raise OSError('the entry is silent') from error
+            raise OSError('the entry sent no message in time') from error
         message: dict[str, Any] = json.loads(text)
         self._runner.clock.observe(message.get('clock', 0))
         return message
@@ -214,8 +215,9 @@
         while True:
             await anyio.sleep(LEASE_CHECK_INTERVAL_S)
             if self._lease.session and not self._lease.is_valid():
-                # Nothing has run since the lease lapsed: this check comes
-                # before any task goes on, also after a pause.
+                # The end is recorded at the expiry: no attempt has run since,
+                # because this check precedes any task that would continue,
+                # also after the process was paused.
                 self._end_session(self._lease.expires_at)
             if self._can_stop():
                 self.is_stopped.set()
@@ -252,7 +254,7 @@
     behaviour: str = 'obey',
     history: str = '',
 ) -> None:
-    """Run a stand-in target until a planned stop."""
+    """Run a stand-in target until SIGTERM and its planned stop."""
     config = TargetConfig(
         name=name,
         data_centre=data_centre,
