--- a/mulberrywalk/entry/filler.py
+++ b/mulberrywalk/entry/filler.py
@@ -12,7 +12,7 @@
 class FillerPacer:
     """The attempts on a target and the pace last sent to each filler."""
 
-    def __init__(self, shares: Iterable[wire.Share]) -> None:
+    def __init__(self, shares: Iterable[wire.AttemptSharing]) -> None:
         """Start with the attempts that the leader lists for the target."""
         self._shares = {one.attempt: one for one in shares}
         self._pacer = pacing.Pacer()
@@ -22,7 +22,7 @@
 
     def add(self, start: wire.StartCommand) -> None:
         """Add an attempt that is being started; it starts at full speed."""
-        self._shares[start.attempt] = wire.Share(
+        self._shares[start.attempt] = wire.AttemptSharing(
             start.attempt, start.latency_target_ms, start.is_filler
         )
         self._sent_percent.setdefault(start.attempt, pacing.FULL_PERCENT)
--- a/mulberrywalk/entry/polled_test.py
+++ b/mulberrywalk/entry/polled_test.py
@@ -356,8 +356,8 @@
         target,
         scenario,
         shares=(
-            wire.Share(FIRST, 200, is_filler=False),
-            wire.Share(SECOND, 0, is_filler=True),
+            wire.AttemptSharing(FIRST, 200, is_filler=False),
+            wire.AttemptSharing(SECOND, 0, is_filler=True),
         ),
     )
     assert target.paces == [(SECOND, 0)]
@@ -379,7 +379,9 @@
 
     target.pace = pace
     run_session(
-        target, scenario, shares=(wire.Share(FIRST, 0, is_filler=True),)
+        target,
+        scenario,
+        shares=(wire.AttemptSharing(FIRST, 0, is_filler=True),),
     )
     assert target.paces == [(FIRST, 100), (FIRST, 100)]
 
--- a/mulberrywalk/replica/assignment.py
+++ b/mulberrywalk/replica/assignment.py
@@ -256,7 +256,7 @@
             term=self._engine.node.term,
             lease_ms=session.lease_ms,
             shares=tuple(
-                wire.Share(
+                wire.AttemptSharing(
                     command.attempt,
                     command.latency_target_ms,
                     command.is_filler,
--- a/mulberrywalk/telemetry/__init__.py
+++ b/mulberrywalk/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Logs, metrics, the time line and checked settings of every program."""
+"""Logging, metrics, the timeline and settings validation for all programs."""
--- a/mulberrywalk/telemetry/clock.py
+++ b/mulberrywalk/telemetry/clock.py
@@ -1,4 +1,4 @@
-"""Clocks: monotonic, wall, and the hybrid logical clock of the time line."""
+"""Monotonic and wall clocks, and the timeline's hybrid logical clock."""
 
 from __future__ import annotations
 
@@ -7,83 +7,84 @@
 _COUNTER_BITS = 16
 _NANOSECONDS_PER_MS = 1_000_000
 _MAX_SLEW_RATE = 0.1
-# A stamp that is further ahead of the wall clock is of no clock: one day.
+# Timestamps further ahead of the wall clock than this, one day, are ignored.
 _MAX_AHEAD_MS = 86_400_000
 
 
 def monotonic_ms() -> int:
-    """Return a clock in milliseconds that never runs back.
+    """Return the time of a clock that never runs backwards, in milliseconds.
 
-    It counts the time in which the machine was suspended, so that a lease
-    cannot outlast a suspension.
+    The clock includes time in which the machine was suspended, so that a lease
+    also expires during a suspension.
     """
     now = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
     return now // _NANOSECONDS_PER_MS
 
 
 def wall_ms() -> int:
-    """Return the wall clock in milliseconds since 1970."""
+    """Return the wall-clock time in milliseconds since 1970."""
     return time.time_ns() // _NANOSECONDS_PER_MS
 
 
 class SlewedClock:
-    """The wall clock without its jumps, in milliseconds since 1970.
+    """A wall clock without jumps, in milliseconds since 1970.
 
-    It runs on with the monotonic clock and approaches the wall clock by at
-    most a tenth of the time that passes.
+    It advances with the monotonic clock and is corrected towards the wall clock
+    by at most a tenth of the elapsed time.
     """
 
     def __init__(self) -> None:
-        """Start at the wall clock."""
+        """Start at the current wall-clock time."""
         self._read_at = monotonic_ms()
-        self._shown = float(wall_ms())
+        self._time_ms = float(wall_ms())
 
     def read(self) -> int:
-        """Return the time; it never runs back."""
+        """Return the time; it never runs backwards."""
         now = monotonic_ms()
-        passed = now - self._read_at
+        elapsed = now - self._read_at
         self._read_at = now
-        self._shown += passed
-        most = passed * _MAX_SLEW_RATE
-        offset = wall_ms() - self._shown
-        self._shown += max(-most, min(most, offset))
-        return int(self._shown)
+        self._time_ms += elapsed
+        max_correction = elapsed * _MAX_SLEW_RATE
+        offset = wall_ms() - self._time_ms
+        self._time_ms += max(-max_correction, min(max_correction, offset))
+        return int(self._time_ms)
 
     def advance(self, at_least: int) -> None:
-        """Go on from a later time that is known to have passed."""
-        # What has passed since the last reading counts before, not after.
+        """Advance to at_least, a time known to have passed, if it is later."""
+        # Accounts for the time elapsed since the last reading, which the next
+        # reading would otherwise add to at_least.
         self.read()
-        self._shown = max(self._shown, float(at_least))
+        self._time_ms = max(self._time_ms, float(at_least))
 
 
 class HybridClock:
-    """A hybrid logical clock: wall milliseconds and a counter in one number.
+    """A hybrid logical clock: wall-clock milliseconds and a counter combined.
 
-    A stamp read after receiving a message is larger than the stamp that the
-    message carried, whatever the wall clocks say, unless these differ by more
+    A timestamp read after a message was observed is larger than the timestamp
+    of that message whatever the wall clocks show, unless they differ by more
     than a day.
     """
 
     def __init__(self) -> None:
-        """Start at the wall clock."""
+        """Start with no timestamp issued or observed."""
         self._latest = 0
 
     def read(self) -> int:
-        """Return a stamp larger than all before."""
+        """Return a timestamp larger than all earlier ones."""
         wall = wall_ms() << _COUNTER_BITS
         self._latest = max(self._latest + 1, wall)
         return self._latest
 
-    def observe(self, stamp: int) -> None:
-        """Take note of a stamp that another process has sent.
+    def observe(self, timestamp: int) -> None:
+        """Advance past a timestamp received from another process.
 
-        One that is out of all proportion would be handed on to every process,
-        and none of them would ever show the time again.
+        Timestamps too far in the future are ignored: they would spread to every
+        process and keep all clocks from following the time again.
         """
-        if wall_of(stamp) <= wall_ms() + _MAX_AHEAD_MS:
-            self._latest = max(self._latest, stamp)
+        if wall_of(timestamp) <= wall_ms() + _MAX_AHEAD_MS:
+            self._latest = max(self._latest, timestamp)
 
 
-def wall_of(stamp: int) -> int:
-    """Return the milliseconds since 1970 within a stamp."""
-    return stamp >> _COUNTER_BITS
+def wall_of(timestamp: int) -> int:
+    """Return the milliseconds since 1970 that a timestamp holds."""
+    return timestamp >> _COUNTER_BITS
--- a/mulberrywalk/telemetry/cost.py
+++ b/mulberrywalk/telemetry/cost.py
@@ -1,4 +1,4 @@
-"""What a process itself consumes: processor, memory, control traffic."""
+"""The resource usage of a process: CPU time, memory, control traffic."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Since the process began; memory_bytes is the most it has held.
+    """Resource usage since the process started; memory_bytes is the peak.
 
-    The bytes are those of messages between processes of the system, without
-    the framing of the transport.
+    sent_bytes and received_bytes count messages between processes of the
+    system, without the framing of the transport.
     """
 
     processor_ms: int = 0
@@ -27,20 +27,20 @@
     """Counts the control traffic of this process."""
 
     def __init__(self) -> None:
-        """Start at nothing."""
+        """Start with zero bytes."""
         self._sent_bytes = 0
         self._received_bytes = 0
 
     def count_sent(self, size: int) -> None:
-        """Count a message that was sent, in bytes."""
+        """Add the size of a sent message, in bytes."""
         self._sent_bytes += size
 
     def count_received(self, size: int) -> None:
-        """Count a message that was received, in bytes."""
+        """Add the size of a received message, in bytes."""
         self._received_bytes += size
 
     def read(self) -> Cost:
-        """Return the cost so far."""
+        """Return the resource usage so far."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return Cost(
             round((usage.ru_utime + usage.ru_stime) * _MS_PER_S),
--- a/mulberrywalk/telemetry/cost_test.py
+++ b/mulberrywalk/telemetry/cost_test.py
@@ -1,14 +1,14 @@
-"""The cost that a process reports of itself."""
+"""Tests the resource usage that a process reports."""
 
 from . import cost
 
 
-def test_read_counts_what_was_sent_and_received():
+def test_read_returns_traffic_and_process_usage():
     meter = cost.Meter()
     meter.count_sent(10)
     meter.count_sent(5)
     meter.count_received(7)
-    read = meter.read()
-    assert (read.sent_bytes, read.received_bytes) == (15, 7)
-    assert read.memory_bytes > 1_000_000
-    assert read.processor_ms > 0
+    usage = meter.read()
+    assert (usage.sent_bytes, usage.received_bytes) == (15, 7)
+    assert usage.memory_bytes > 1_000_000
+    assert usage.processor_ms > 0
--- a/mulberrywalk/telemetry/journal.py
+++ b/mulberrywalk/telemetry/journal.py
@@ -1,4 +1,4 @@
-"""The events of one process for the time line, and its log lines."""
+"""Timeline events and log lines of a process."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 
 from . import clock
 
+# The maximum number of timeline lines that a process keeps.
 _MAX_LINES = 50_000
 _MS_PER_S = 1000
-# Lines of one kind that a process writes in a second.
-_LINES_PER_SECOND = 200
-# The last millisecond of the year 9999, counted from 1970.
+# The maximum number of log lines of one kind per second.
+_MAX_LINES_PER_SECOND = 200
+# The last millisecond of the year 9999, since 1970.
 _MAX_TIME_MS = 253_402_300_799_999
-_TIME = msgspec.Meta(ge=0, le=_MAX_TIME_MS)
+_TIME_RANGE = msgspec.Meta(ge=0, le=_MAX_TIME_MS)
 
 
 class Line(msgspec.Struct, frozen=True):
-    """One event of the time line; clock is a hybrid logical stamp."""
+    """One event of the timeline; clock is a hybrid logical timestamp."""
 
     clock: int
     process: str
@@ -39,69 +40,70 @@
 
 
 class Filter(msgspec.Struct, frozen=True):
-    """Which lines are wanted; empty fields match all.
+    """Selects timeline lines; empty fields match all lines.
 
-    since and until are milliseconds since 1970, until zero for no end.
+    since and until are milliseconds since 1970, both inclusive; until is zero
+    for no upper limit.
     """
 
     job: str = ''
     task: str = ''
     target: str = ''
-    since: Annotated[int, _TIME] = 0
-    until: Annotated[int, _TIME] = 0
+    since: Annotated[int, _TIME_RANGE] = 0
+    until: Annotated[int, _TIME_RANGE] = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Origin:
-    """The process that writes, and where it runs."""
+    """The name of the process that writes lines, and its data centre."""
 
     process: str
     data_centre: str
 
 
 class LineRateLimiter:
-    """Bounds the log lines of each kind, and counts those left out."""
+    """Limits the log lines per kind and second, and counts dropped ones."""
 
     def __init__(self) -> None:
-        """Start a first second."""
+        """Start with empty counts."""
         self._second = 0
         self._written: collections.Counter[str] = collections.Counter()
         self._left_out: collections.Counter[str] = collections.Counter()
 
     def admit(self, kind: str, now: int) -> int | None:
-        """Return how many of a kind were left out before, or None to omit.
+        """Return how many lines were dropped before, or None to drop this one.
 
-        now is a monotonic time in milliseconds.
+        Both are per kind. now is a monotonic time in milliseconds.
         """
         if now // _MS_PER_S != self._second:
             self._second = now // _MS_PER_S
             self._written.clear()
         self._written[kind] += 1
-        if self._written[kind] > _LINES_PER_SECOND:
+        if self._written[kind] > _MAX_LINES_PER_SECOND:
             self._left_out[kind] += 1
             return None
         return self._left_out.pop(kind, 0)
 
 
 class NonBlockingOutput:
-    """Standard output that drops a line rather than wait for its reader."""
+    """Standard output that drops lines instead of blocking on a slow reader."""
 
     def __init__(self) -> None:
-        """Write to the standard output of the process."""
+        """Make the standard output of the process non-blocking."""
         self._descriptor = sys.stdout.fileno()
         os.set_blocking(self._descriptor, False)
 
     def __call__(self, message: str) -> None:
-        """Write one line; what does not fit into the pipe is lost."""
+        """Write one line; the part that does not fit into the pipe is lost."""
         with contextlib.suppress(BlockingIOError, BrokenPipeError):
             os.write(self._descriptor, message.encode())
 
 
 class Journal:
-    """Keeps the latest lines of a process and writes them to its log."""
+    """Keeps the latest timeline lines of a process and writes its log."""
 
     def __init__(self, origin: Origin) -> None:
-        """Start empty; the log names the origin on each line."""
+        """Create an empty journal; log lines carry the name of the process."""
         self.origin = origin
         self.clock = clock.HybridClock()
         self._lines: collections.deque[Line] = collections.deque(
@@ -116,7 +118,7 @@
         )
 
     def record(self, what: str, detail: str = '', **ids: str) -> None:
-        """Add an event about the jobs, tasks, attempts or targets named."""
+        """Add an event; ids names the job, task, attempt or target."""
         line = Line(
             self.clock.read(),
             self.origin.process,
@@ -128,7 +130,7 @@
         self.add_line(line)
 
     def add_line(self, line: Line) -> None:
-        """Add a line as it is, also one that a target has sent."""
+        """Add an existing line, such as one that a target has sent."""
         self._lines.append(line)
         left_out = self._rate_limiter.admit(line.what, clock.monotonic_ms())
         if left_out is None:
@@ -137,36 +139,36 @@
         self._logger.bind(line=line, left_out=left_out).info(message)
 
     def warn(self, what: str, detail: str = '') -> None:
-        """Log something an operator should look at.
+        """Log a warning for operators.
 
-        Lines are bounded by what they are about; the detail may be a text of
-        others.
+        The rate limit counts by what alone, because detail may hold text from
+        other processes.
         """
         left_out = self._rate_limiter.admit(what, clock.monotonic_ms())
         if left_out is not None:
             message = f'{what}: {detail}' if detail else what
             self._logger.bind(left_out=left_out).warning(message)
 
-    def find(self, wanted: Filter) -> list[Line]:
-        """Return the lines kept that match."""
-        return select(self._lines, wanted)
+    def find(self, line_filter: Filter) -> list[Line]:
+        """Return the kept lines that match the filter."""
+        return select(self._lines, line_filter)
 
 
-def select(lines: Iterable[Line], wanted: Filter) -> list[Line]:
+def select(lines: Iterable[Line], line_filter: Filter) -> list[Line]:
     """Return the lines that match a filter."""
-    return [line for line in lines if _matches(line, wanted)]
+    return [line for line in lines if _matches(line, line_filter)]
 
 
-def merge(collected: Iterable[Line]) -> list[Line]:
-    """Return lines of several processes once each, in causal order."""
-    return sorted(set(collected), key=lambda line: (line.clock, line.process))
+def merge(lines: Iterable[Line]) -> list[Line]:
+    """Return lines of several processes in causal order, without duplicates."""
+    return sorted(set(lines), key=lambda line: (line.clock, line.process))
 
 
 def open_log(*, is_json: bool) -> None:
     """Send the log of this process to standard output."""
     loguru.logger.remove()
-    form = _format_json if is_json else _format_text
-    loguru.logger.add(NonBlockingOutput(), format=form, catch=False)
+    formatter = _format_json if is_json else _format_text
+    loguru.logger.add(NonBlockingOutput(), format=formatter, catch=False)
 
 
 def _format_json(record: Any) -> str:
@@ -199,28 +201,28 @@
 
 
 def _escape(text: str) -> str:
-    # The logger takes what a format function returns as a template.
+    # Loguru treats the result of a format function as a template.
     doubled = text.replace('{', '{{').replace('}', '}}').replace('<', r'\<')
     return f'{doubled}\n'
 
 
 def _ids_of(line: Line) -> dict[str, str]:
-    named = {
+    ids = {
         'job': line.job,
         'task': line.task,
         'attempt': line.attempt,
         'target': line.target,
     }
-    return {name: text for name, text in named.items() if text}
+    return {name: text for name, text in ids.items() if text}
 
 
-def _matches(line: Line, wanted: Filter) -> bool:
+def _matches(line: Line, line_filter: Filter) -> bool:
     at = clock.wall_of(line.clock)
-    if at < wanted.since or (wanted.until and at > wanted.until):
+    if at < line_filter.since or (line_filter.until and at > line_filter.until):
         return False
     job = line.job or line.task.split('.')[0]
     return (
-        wanted.job in {'', job}
-        and wanted.task in {'', line.task}
-        and wanted.target in {'', line.target}
+        line_filter.job in {'', job}
+        and line_filter.task in {'', line.task}
+        and line_filter.target in {'', line.target}
     )
--- a/mulberrywalk/telemetry/journal_test.py
+++ b/mulberrywalk/telemetry/journal_test.py
@@ -1,53 +1,53 @@
-"""The time line is causal and can be filtered."""
+"""Tests the order and filters of timeline lines and the log's rate limit."""
 
 import loguru
 
 from . import clock, journal
 
 
-def record(lines, what, **ids):
-    lines.record(what, **ids)
-    return lines.find(journal.Filter())[-1]
+def record(event_journal, what, **ids):
+    event_journal.record(what, **ids)
+    return event_journal.find(journal.Filter())[-1]
 
 
-def test_stamp_follows_a_received_one(monkeypatch):
+def test_timestamp_is_larger_than_observed_one(monkeypatch):
     monkeypatch.setattr(clock, 'wall_ms', lambda: 1000)
     ahead, behind = clock.HybridClock(), clock.HybridClock()
     monkeypatch.setattr(clock, 'wall_ms', lambda: 5000)
-    stamp = ahead.read()
+    timestamp = ahead.read()
     monkeypatch.setattr(clock, 'wall_ms', lambda: 10)
-    behind.observe(stamp)
-    assert behind.read() > stamp
+    behind.observe(timestamp)
+    assert behind.read() > timestamp
 
 
 def test_find_selects_by_job_task_and_target():
-    lines = journal.Journal(journal.Origin('p', 'dc'))
-    first = record(lines, 'placed', job='j1', task='j1.0', target='t1')
-    record(lines, 'placed', job='j2', task='j2.0', target='t1')
-    assert lines.find(journal.Filter(job='j1')) == [first]
-    assert lines.find(journal.Filter(task='j1.0')) == [first]
-    assert not lines.find(journal.Filter(target='t9'))
-    assert not lines.find(journal.Filter(until=1))
-
-
-def test_merge_orders_and_drops_repetitions():
-    lines = journal.Journal(journal.Origin('p', 'dc'))
-    first = record(lines, 'a')
-    second = record(lines, 'b')
+    event_journal = journal.Journal(journal.Origin('p', 'dc'))
+    first = record(event_journal, 'placed', job='j1', task='j1.0', target='t1')
+    record(event_journal, 'placed', job='j2', task='j2.0', target='t1')
+    assert event_journal.find(journal.Filter(job='j1')) == [first]
+    assert event_journal.find(journal.Filter(task='j1.0')) == [first]
+    assert not event_journal.find(journal.Filter(target='t9'))
+    assert not event_journal.find(journal.Filter(until=1))
+
+
+def test_merge_sorts_and_removes_duplicates():
+    event_journal = journal.Journal(journal.Origin('p', 'dc'))
+    first = record(event_journal, 'a')
+    second = record(event_journal, 'b')
     assert journal.merge([second, first, second]) == [first, second]
 
 
-def test_warnings_of_one_kind_are_bounded_whatever_their_details(monkeypatch):
+def test_warnings_are_rate_limited_regardless_of_detail(monkeypatch):
     monkeypatch.setattr(clock, 'monotonic_ms', lambda: 5000)
     written = []
     sink = loguru.logger.add(
         lambda line: written.append(line.record), format='{message}'
     )
-    lines = journal.Journal(journal.Origin('p', 'dc'))
+    event_journal = journal.Journal(journal.Origin('p', 'dc'))
     for number in range(1000):
-        lines.warn('heartbeat refused', f'of i-{number}')
+        event_journal.warn('heartbeat refused', f'of i-{number}')
     monkeypatch.setattr(clock, 'monotonic_ms', lambda: 6000)
-    lines.warn('heartbeat refused', 'of i-1000')
+    event_journal.warn('heartbeat refused', 'of i-1000')
     loguru.logger.remove(sink)
     assert len(written) == 201
     assert written[-1]['message'] == 'heartbeat refused: of i-1000'
--- a/mulberrywalk/telemetry/metric.py
+++ b/mulberrywalk/telemetry/metric.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; without an address they go nowhere."""
+"""Metrics, sent to statsd if an address is set and exposed as text."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import statsd
 from hdrh import histogram
 
+# The range and precision of the histograms.
 _MIN_DURATION_MS = 1
 _MAX_DURATION_MS = 3_600_000
 _SIGNIFICANT_DIGITS = 2
@@ -15,7 +16,7 @@
 
 
 class Metrics(Protocol):
-    """Counters, gauges and timings of a process."""
+    """The interface to record counters, gauges and timings."""
 
     def incr(self, stat: str, count: int = 1, /) -> None:
         """Add to a counter."""
@@ -28,7 +29,7 @@
 
 
 class NoMetrics:
-    """Takes metrics and drops them."""
+    """Discards all metrics."""
 
     def incr(self, stat: str, count: int = 1, /) -> None:
         """Do nothing."""
@@ -41,7 +42,10 @@
 
 
 def connect(address: str, prefix: str) -> Metrics:
-    """Return a client for a statsd address, host:port; empty for none."""
+    """Return a client for a statsd address, host:port.
+
+    An empty address gives a client that discards all metrics.
+    """
     if not address:
         return NoMetrics()
     host, _, port = address.rpartition(':')
@@ -50,14 +54,14 @@
 
 
 class Exposition:
-    """Keeps metrics and shows them as text, beside passing them on.
+    """Records metrics for exposition as text and forwards them.
 
-    Durations are kept in histograms of milliseconds.
+    Durations are recorded in histograms, in milliseconds.
     """
 
-    def __init__(self, passed_on: Metrics) -> None:
-        """Start at nothing."""
-        self._passed_on = passed_on
+    def __init__(self, downstream: Metrics) -> None:
+        """Create an empty exposition that forwards to downstream."""
+        self._downstream = downstream
         self._counters: collections.Counter[str] = collections.Counter()
         self._gauges: dict[str, float] = {}
         self._timings: dict[str, histogram.HdrHistogram] = {}
@@ -65,12 +69,12 @@
     def incr(self, stat: str, count: int = 1, /) -> None:
         """Add to a counter."""
         self._counters[stat] += count
-        self._passed_on.incr(stat, count)
+        self._downstream.incr(stat, count)
 
     def gauge(self, stat: str, amount: float) -> None:
         """Set a gauge."""
         self._gauges[stat] = amount
-        self._passed_on.gauge(stat, amount)
+        self._downstream.gauge(stat, amount)
 
     def timing(self, stat: str, delta: float, /) -> None:
         """Record a duration in milliseconds."""
@@ -79,26 +83,32 @@
                 _MIN_DURATION_MS, _MAX_DURATION_MS, _SIGNIFICANT_DIGITS
             )
         self._timings[stat].record_value(int(max(_MIN_DURATION_MS, delta)))
-        self._passed_on.timing(stat, delta)
+        self._downstream.timing(stat, delta)
 
     def render(self) -> str:
-        """Return one line for each counter, gauge and percentile."""
+        """Return one line per counter, gauge, percentile and timing count."""
         counters = [
             f'{stat}_total {count}' for stat, count in self._counters.items()
         ]
         gauges = [f'{stat} {amount}' for stat, amount in self._gauges.items()]
         timings = [
             line
-            for stat, kept in self._timings.items()
-            for line in _render_timing(stat, kept)
+            for stat, timing_histogram in self._timings.items()
+            for line in _render_timing(stat, timing_histogram)
         ]
         lines = sorted((*counters, *gauges, *timings))
         return ''.join(f'{line}\n' for line in lines)
 
 
-def _render_timing(stat: str, kept: histogram.HdrHistogram) -> list[str]:
+def _render_timing(
+    stat: str, timing_histogram: histogram.HdrHistogram
+) -> list[str]:
     percentiles = [
-        f'{stat}_ms{{percentile="{part}"}} {kept.get_value_at_percentile(part)}'
-        for part in _PERCENTILES
+        f'{stat}_ms{{percentile="{percentile}"}} '
+        f'{timing_histogram.get_value_at_percentile(percentile)}'
+        for percentile in _PERCENTILES
+    ]
+    return [
+        *percentiles,
+        f'{stat}_ms_count {timing_histogram.get_total_count()}',
     ]
-    return [*percentiles, f'{stat}_ms_count {kept.get_total_count()}']
--- a/mulberrywalk/telemetry/metric_test.py
+++ b/mulberrywalk/telemetry/metric_test.py
@@ -1,17 +1,17 @@
-"""Metrics are kept and shown as text."""
+"""Tests the text exposition of metrics."""
 
 from . import metric
 
 
-def test_exposition_shows_counters_gauges_and_percentiles():
-    kept = metric.Exposition(metric.NoMetrics())
-    kept.incr('submitted')
-    kept.incr('submitted', 2)
-    kept.gauge('waiting', 7)
+def test_exposition_renders_counters_gauges_and_percentiles():
+    exposition = metric.Exposition(metric.NoMetrics())
+    exposition.incr('submitted')
+    exposition.incr('submitted', 2)
+    exposition.gauge('waiting', 7)
     for milliseconds in range(1, 101):
-        kept.timing('wait', milliseconds)
-    shown = kept.render().splitlines()
-    assert 'submitted_total 3' in shown
-    assert 'waiting 7' in shown
-    assert 'wait_ms{percentile="50"} 50' in shown
-    assert 'wait_ms_count 100' in shown
+        exposition.timing('wait', milliseconds)
+    rendered = exposition.render().splitlines()
+    assert 'submitted_total 3' in rendered
+    assert 'waiting 7' in rendered
+    assert 'wait_ms{percentile="50"} 50' in rendered
+    assert 'wait_ms_count 100' in rendered
--- a/mulberrywalk/telemetry/setting.py
+++ b/mulberrywalk/telemetry/setting.py
@@ -1,4 +1,4 @@
-"""Settings from flags and environment, checked together."""
+"""Validation of settings from command-line flags and the environment."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 
 @dataclasses.dataclass(slots=True)
 class Checker:
-    """Collects what is wrong with the settings of a program."""
+    """Validates the settings of a program and collects all errors."""
 
     errors: list[str] = dataclasses.field(default_factory=list)
 
     def name(self, flag: str, text: str) -> str:
-        """Check a name of letters, digits, dots, dashes, underscores."""
-        return self._check(flag, text, is_name, 'is not a name')
+        """Check a name of letters, digits, dots, dashes and underscores."""
+        return self._check(flag, text, is_name, 'is not a valid name')
 
     def address(self, flag: str, text: str) -> str:
-        """Check an address, host:port."""
+        """Check an address of the form host:port."""
         return self._check(flag, text, is_address, 'is not host:port')
 
     def addresses(self, flag: str, text: str) -> tuple[str, ...]:
-        """Check a list of addresses with commas between them."""
-        listed = tuple(part.strip() for part in text.split(',') if part)
-        if not listed:
+        """Check a comma-separated list of at least one address."""
+        addresses = tuple(part.strip() for part in text.split(',') if part)
+        if not addresses:
             self.errors.append(f'{flag}: at least one address is needed')
-        return tuple(self.address(flag, part) for part in listed)
+        return tuple(self.address(flag, part) for part in addresses)
 
     def optional_address(self, flag: str, text: str) -> str:
         """Check an address that may be empty."""
         return self.address(flag, text) if text else ''
 
     def number(self, flag: str, text: str, low: int, high: int) -> int:
-        """Check a whole number within bounds."""
-        is_whole = text.isdecimal() and low <= int(text) <= high
-        if is_whole:
+        """Check a whole number from low to high, both inclusive."""
+        is_in_range = text.isdecimal() and low <= int(text) <= high
+        if is_in_range:
             return int(text)
         self.errors.append(
             f'{flag}: {text!r} is not a whole number from {low} to {high}'
@@ -51,14 +51,16 @@
         return low
 
     def choice(self, flag: str, text: str, choices: frozenset[str]) -> str:
-        """Check that a text is one of several."""
+        """Check that a text is one of the choices."""
         if text not in choices:
-            listed = ', '.join(sorted(choices))
-            self.errors.append(f'{flag}: {text!r} is not one of {listed}')
+            valid_choices = ', '.join(sorted(choices))
+            self.errors.append(
+                f'{flag}: {text!r} is not one of {valid_choices}'
+            )
         return text
 
     def exit_on_errors(self) -> None:
-        """Report all errors and leave the program if there are any."""
+        """Print all errors and exit if there are any; raises typer.Exit."""
         if not self.errors:
             return
         sys.stderr.writelines(f'{error}\n' for error in self.errors)
@@ -69,20 +71,20 @@
         flag: str,
         text: str,
         is_valid: Callable[[str], bool],
-        complaint: str,
+        message: str,
     ) -> str:
         if not is_valid(text):
-            self.errors.append(f'{flag}: {text!r} {complaint}')
+            self.errors.append(f'{flag}: {text!r} {message}')
         return text
 
 
 def is_address(text: str) -> bool:
-    """Return whether a text is host:port."""
+    """Return whether a text has the form host:port, with a valid port."""
     if not _ADDRESS.match(text):
         return False
     return 0 < int(text.rpartition(':')[2]) <= _MAX_PORT
 
 
 def is_name(text: str) -> bool:
-    """Return whether a text can name a process or a place."""
+    """Return whether a text is valid as the name of a process or place."""
     return bool(_NAME.match(text))
--- a/mulberrywalk/telemetry/setting_test.py
+++ b/mulberrywalk/telemetry/setting_test.py
@@ -1,4 +1,4 @@
-"""Settings are checked together."""
+"""Tests the validation of settings."""
 
 import pytest
 import typer
@@ -6,7 +6,7 @@
 from . import setting
 
 
-def test_finish_reports_every_error(capsys):
+def test_exit_on_errors_reports_every_error(capsys):
     checker = setting.Checker()
     checker.name('--name', 'not a name')
     checker.address('--listen', 'nowhere')
--- a/mulberrywalk/transport/__init__.py
+++ b/mulberrywalk/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between processes and the channels that carry them."""
+"""Messages between processes and the gRPC channels that carry them."""
--- a/mulberrywalk/transport/channel.py
+++ b/mulberrywalk/transport/channel.py
@@ -1,4 +1,4 @@
-"""Streams of batches over gRPC, given up when the other end is silent."""
+"""Streams of batches over gRPC that fail when the remote end is silent."""
 
 from __future__ import annotations
 
@@ -15,8 +15,10 @@
 from ..telemetry import cost
 from . import decoding
 
+# The limit for sending or receiving one batch, and for a unary call.
 TIMEOUT_S = 1.0
 HEARTBEAT_INTERVAL_S = 0.25
+# How long an outbox collects further messages after the first one.
 BATCH_DELAY_S = 0.002
 MAX_MESSAGE_BYTES = 268_435_456
 SERVICE = 'mulberrywalk.Replica'
@@ -28,8 +30,8 @@
 CHANNEL_OPTIONS = (
     ('grpc.max_send_message_length', MAX_MESSAGE_BYTES),
     ('grpc.max_receive_message_length', MAX_MESSAGE_BYTES),
-    # A channel of its own connection: a new one must not inherit a
-    # connection that has gone silent.
+    # Gives each channel its own connection: a new channel must not reuse a
+    # connection that has become unresponsive.
     ('grpc.use_local_subchannel_pool', 1),
     ('grpc.so_reuseport', 0),
     ('grpc.min_reconnect_backoff_ms', 100),
@@ -37,7 +39,7 @@
     ('grpc.initial_reconnect_backoff_ms', 100),
 )
 
-# What a stream raises once its other end is gone.
+# Errors that a stream raises once the remote end is gone.
 _STREAM_ERRORS = (
     grpc.RpcError,
     grpc.aio.UsageError,
@@ -52,49 +54,55 @@
 
 
 class Outbox(Generic[Sent]):
-    """Messages that wait to be sent in one batch, bounded in number."""
+    """A bounded queue of messages that are sent in batches."""
 
     def __init__(
         self, limit: int = 100_000, batch_delay_s: float = BATCH_DELAY_S
     ) -> None:
-        """Start empty; what comes within batch_delay_s leaves together."""
+        """Create an empty queue of at most limit messages.
+
+        Messages put within batch_delay_s of the first are sent together.
+        """
         self._batch_delay_s = batch_delay_s
         self._messages: collections.deque[Sent] = collections.deque(
             maxlen=limit
         )
-        self._filled = anyio.Event()
+        self._not_empty = anyio.Event()
 
     def put(self, message: Sent) -> None:
-        """Add a message; the oldest is dropped from a full outbox."""
+        """Add a message; a full outbox drops its oldest one."""
         self._messages.append(message)
-        self._filled.set()
+        self._not_empty.set()
 
     async def take(self, seconds: float) -> tuple[Sent, ...]:
-        """Return all messages, or none after waiting that long."""
+        """Return all messages, or none if none arrives within seconds."""
         if not self._messages:
             with anyio.move_on_after(seconds):
-                await self._filled.wait()
+                await self._not_empty.wait()
                 await anyio.sleep(self._batch_delay_s)
-        self._filled = anyio.Event()
-        taken = tuple(self._messages)
+        self._not_empty = anyio.Event()
+        batch = tuple(self._messages)
         self._messages.clear()
-        return taken
+        return batch
 
 
 class Stream(Generic[Sent, Received]):
-    """One open gRPC stream, either end of it."""
+    """The client or server end of an open gRPC stream."""
 
     def __init__(
         self, raw: Any, received: type[Received], meter: cost.Meter
     ) -> None:
-        """Wrap a gRPC call or servicer context with read and write."""
+        """Wrap a gRPC call or servicer context that has read and write."""
         self._raw = raw
         self._meter = meter
         self._decoder = msgspec.msgpack.Decoder(received)
         self._encoder = msgspec.msgpack.Encoder()
 
     async def send(self, batch: Sent) -> None:
-        """Send one batch; raises ConnectionError when it cannot leave."""
+        """Send one batch.
+
+        Raises ConnectionError when it cannot be encoded or sent in TIMEOUT_S.
+        """
         with decoding.translate_errors(ConnectionError):
             encoded = self._encoder.encode(batch)
         self._meter.count_sent(len(encoded))
@@ -104,12 +112,13 @@
             except _STREAM_ERRORS as error:
                 raise ConnectionError(str(error)) from error
             return
-        raise ConnectionError(f'nothing left for {TIMEOUT_S} s')
+        raise ConnectionError(f'no message could be sent for {TIMEOUT_S} s')
 
     async def receive(self) -> Received:
         """Return the next batch.
 
-        Raises ConnectionError on silence, and when it cannot be read.
+        Raises ConnectionError when none arrives within TIMEOUT_S, when the
+        stream is closed or broken, and when the batch cannot be decoded.
         """
         with anyio.move_on_after(TIMEOUT_S):
             try:
@@ -117,15 +126,15 @@
             except _STREAM_ERRORS as error:
                 raise ConnectionError(str(error)) from error
             if encoded is grpc.aio.EOF:
-                raise ConnectionError('the other end has closed the stream')
+                raise ConnectionError('the remote end has closed the stream')
             self._meter.count_received(len(encoded))
             with decoding.translate_errors(ConnectionError):
                 return self._decoder.decode(encoded)
-        raise ConnectionError(f'nothing heard for {TIMEOUT_S} s')
+        raise ConnectionError(f'no message received for {TIMEOUT_S} s')
 
 
 def dial(address: str) -> grpc.aio.Channel:
-    """Return a channel with a connection of its own."""
+    """Return a channel that shares its connection with no other."""
     return grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
 
 
@@ -135,39 +144,39 @@
     received: type[Received],
     meter: cost.Meter,
 ) -> Stream[Any, Received]:
-    """Return a stream of a replica's method."""
+    """Open a stream to a method of a replica."""
     call = channel.stream_stream(f'/{SERVICE}/{method}')()
     return Stream(call, received, meter)
 
 
 async def call_decoded(
-    address: str, method: str, encoded: bytes, answer: type[Received]
+    address: str, method: str, encoded: bytes, reply_type: type[Received]
 ) -> Received:
-    """Return the answer of a method that is called once.
+    """Make a unary call and return the decoded reply.
 
-    Raises ConnectionError when the call fails or the answer is unreadable.
+    Raises ConnectionError when the call fails or the reply is malformed.
     """
-    answered = await call(address, method, encoded)
+    reply = await call(address, method, encoded)
     with decoding.translate_errors(ConnectionError):
-        return msgspec.msgpack.decode(answered, type=answer)
+        return msgspec.msgpack.decode(reply, type=reply_type)
 
 
 async def call(address: str, method: str, encoded: bytes) -> bytes:
-    """Call a method once; raises ConnectionError when it fails."""
+    """Make a unary call; raises ConnectionError when it fails."""
     async with dial(address) as channel:
-        asked = channel.unary_unary(f'/{SERVICE}/{method}')
+        unary_call = channel.unary_unary(f'/{SERVICE}/{method}')
         try:
-            answered: bytes = await asked(encoded, timeout=TIMEOUT_S)
+            reply: bytes = await unary_call(encoded, timeout=TIMEOUT_S)
         except grpc.RpcError as error:
             raise ConnectionError(f'{address}: {error.code()}') from error
-    return answered
+    return reply
 
 
 class Server:
     """Serves the methods of a replica on one address."""
 
     def __init__(self, address: str) -> None:
-        """Prepare to listen; nothing is opened yet."""
+        """Create the server; it does not listen before start."""
         self._address = address
         self._server = grpc.aio.server(options=CHANNEL_OPTIONS)
 
@@ -176,19 +185,21 @@
         streams: MappingProxyType[str, StreamHandler],
         calls: MappingProxyType[str, CallHandler],
     ) -> None:
-        """Listen; raises OSError when the address cannot be had."""
+        """Start listening; raises OSError when the address cannot be bound."""
         handlers: dict[str, Any] = {
-            name: grpc.stream_stream_rpc_method_handler(_stream(method))
+            name: grpc.stream_stream_rpc_method_handler(_stream_handler(method))
             for name, method in streams.items()
         }
         handlers.update(
             {
-                name: grpc.unary_unary_rpc_method_handler(_call(method))
+                name: grpc.unary_unary_rpc_method_handler(_call_handler(method))
                 for name, method in calls.items()
             }
         )
-        generic = grpc.method_handlers_generic_handler(SERVICE, handlers)
-        self._server.add_generic_rpc_handlers((generic,))
+        generic_handler = grpc.method_handlers_generic_handler(
+            SERVICE, handlers
+        )
+        self._server.add_generic_rpc_handlers((generic_handler,))
         try:
             self._server.add_insecure_port(self._address)
         except RuntimeError as error:
@@ -196,18 +207,18 @@
         await self._server.start()
 
     async def stop(self) -> None:
-        """Close all streams."""
+        """Stop listening and close all streams at once."""
         await self._server.stop(grace=0)
 
 
-def _stream(method: StreamHandler) -> Any:
+def _stream_handler(method: StreamHandler) -> Any:
     async def serve(_: Any, context: Any) -> None:
         await method(context)
 
     return serve
 
 
-def _call(method: CallHandler) -> Any:
+def _call_handler(method: CallHandler) -> Any:
     async def serve(encoded: bytes, _: Any) -> bytes:
         return await method(encoded)
 
--- a/mulberrywalk/transport/channel_test.py
+++ b/mulberrywalk/transport/channel_test.py
@@ -1,4 +1,8 @@
-"""Streams whose other end sends what cannot be read."""
+"""Tests streams and calls with messages that cannot be encoded or decoded.
+
+Such a message must fail only its own stream or call, so each one raises
+ConnectionError.
+"""
 
 import anyio
 import msgspec
@@ -8,8 +12,8 @@
 from . import channel, wire
 
 
-class Raw:
-    """One end of a gRPC stream: hands out one message, keeps the others."""
+class FakeRawStream:
+    """A gRPC stream that returns one message and records those written."""
 
     def __init__(self, encoded=b''):
         self.encoded = encoded
@@ -22,43 +26,45 @@
         self.written.append(encoded)
 
 
-def batch(clock):
+def entry_batch(clock):
     return wire.FromEntryBatch('e', 'd', clock, ())
 
 
-DEEP = b'\x91' * 100_000
-ODD = (
+DEEPLY_NESTED = b'\x91' * 100_000
+UNDECODABLE = (
     b'',
     b'\xc1',
     b'{}',
-    DEEP,
+    DEEPLY_NESTED,
     msgspec.msgpack.encode({'process': 1}),
     msgspec.msgpack.encode({'process': 'p', 'x': [[1]]}),
-    b''.join((b'\x81\xa1x', DEEP)),
+    b''.join((b'\x81\xa1x', DEEPLY_NESTED)),
 )
 
 
-@pytest.mark.parametrize('encoded', ODD)
-def test_batch_that_cannot_be_read_breaks_the_stream_alone(encoded):
-    stream = channel.Stream(Raw(encoded), wire.FromEntryBatch, cost.Meter())
+@pytest.mark.parametrize('encoded', UNDECODABLE)
+def test_undecodable_batch_raises_connection_error(encoded):
+    stream = channel.Stream(
+        FakeRawStream(encoded), wire.FromEntryBatch, cost.Meter()
+    )
     with pytest.raises(ConnectionError):
         anyio.run(stream.receive)
 
 
-def test_batch_that_cannot_be_written_breaks_the_stream_alone():
-    raw = Raw()
-    stream = channel.Stream(raw, wire.ToEntryBatch, cost.Meter())
+def test_stream_sends_again_after_an_unencodable_batch():
+    raw_stream = FakeRawStream()
+    stream = channel.Stream(raw_stream, wire.ToEntryBatch, cost.Meter())
     with pytest.raises(ConnectionError):
-        anyio.run(stream.send, batch(10**40))
-    anyio.run(stream.send, batch(1))
-    assert len(raw.written) == 1
+        anyio.run(stream.send, entry_batch(10**40))
+    anyio.run(stream.send, entry_batch(1))
+    assert len(raw_stream.written) == 1
 
 
-@pytest.mark.parametrize('encoded', ODD)
-def test_reply_that_cannot_be_read_counts_as_none(encoded, monkeypatch):
-    async def answer(address, method, body):
+@pytest.mark.parametrize('encoded', UNDECODABLE)
+def test_undecodable_reply_raises_connection_error(encoded, monkeypatch):
+    async def fake_call(address, method, body):
         return encoded
 
-    monkeypatch.setattr(channel, 'call', answer)
+    monkeypatch.setattr(channel, 'call', fake_call)
     with pytest.raises(ConnectionError):
         anyio.run(channel.call_decoded, 'a:1', 'Join', b'', wire.JoinReply)
--- a/mulberrywalk/transport/codec.py
+++ b/mulberrywalk/transport/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of outcomes with a tag, for the wire and for JSON answers."""
+"""Tagged encoding of outcomes, for the wire and for JSON responses."""
 
 from __future__ import annotations
 
@@ -10,36 +10,37 @@
 
 from ..core import outcome
 
-_WORD = re.compile('(?<=[a-z])(?=[A-Z])')
+_WORD_BOUNDARY = re.compile('(?<=[a-z])(?=[A-Z])')
 TAG = 'outcome'
 
 
-def tag_of(kind: type[Any]) -> str:
-    """Return the tag of an outcome's class: its name in snake case."""
-    return _WORD.sub('_', kind.__name__).lower()
+def tag_of(outcome_class: type[Any]) -> str:
+    """Return the tag of an outcome class: its name in snake case."""
+    return _WORD_BOUNDARY.sub('_', outcome_class.__name__).lower()
 
 
-def to_builtins(told: outcome.Outcome) -> dict[str, Any]:
-    """Return an outcome as plain data with its tag."""
-    fields: dict[str, Any] = msgspec.to_builtins(told)
-    return {TAG: tag_of(type(told)), **fields}
+def to_builtins(typed_outcome: outcome.Outcome) -> dict[str, Any]:
+    """Return the fields of an outcome and its tag as a dictionary."""
+    fields: dict[str, Any] = msgspec.to_builtins(typed_outcome)
+    return {TAG: tag_of(type(typed_outcome)), **fields}
 
 
 def from_builtins(fields: dict[str, Any]) -> outcome.Outcome:
-    """Return the outcome that plain data with a tag stands for.
+    """Return the outcome that a dictionary with a tag describes.
 
-    Raises msgspec.ValidationError when the data does not fit the tag.
+    Raises KeyError when the tag is missing or unknown, and
+    msgspec.ValidationError when the other fields do not fit the tag.
     """
-    plain = dict(fields)
-    kind = _TAGS[plain.pop(TAG)]
-    converted: outcome.Outcome = msgspec.convert(plain, type=kind)
+    untagged = dict(fields)
+    outcome_class = _CLASSES_BY_TAG[untagged.pop(TAG)]
+    converted: outcome.Outcome = msgspec.convert(untagged, type=outcome_class)
     return converted
 
 
-_TAGS: MappingProxyType[str, type[Any]] = MappingProxyType(
+_CLASSES_BY_TAG: MappingProxyType[str, type[Any]] = MappingProxyType(
     {
-        tag_of(kind): kind
-        for kind in (
+        tag_of(outcome_class): outcome_class
+        for outcome_class in (
             outcome.Accepted,
             outcome.NotRun,
             outcome.Unavailable,
--- a/mulberrywalk/transport/decoding.py
+++ b/mulberrywalk/transport/decoding.py
@@ -1,8 +1,8 @@
-"""What goes wrong while a message of others is read, as one error.
+"""Uniform errors for malformed messages from other processes.
 
 A decoder raises errors of its own for bytes that fit no type, but also a
-RecursionError for what is nested deeply, and numbers that no type of the
-wire holds fail only where they are converted.
+RecursionError for deeply nested data, and numbers outside the range of the wire
+types fail only when they are converted.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 from ..core import job
 
-# Of what is wrong with a message, so many characters are told and logged: the
-# message may be quoted in it.
+# Characters of an error text that are reported and logged: the text may quote
+# the whole message.
 MAX_ERROR_LENGTH = 300
-# How deeply free-form data may be nested, and the whole numbers in it: those of
-# 64 bits with a sign.
+# The limits of free-form data: its nesting depth, and the magnitude of its
+# integers, which must fit into 64 bits with a sign.
 MAX_NESTING_DEPTH = 16
 _MAX_INTEGER = job.MAX_INT64
 
-_DECODING_ERRORS = (
+_CODING_ERRORS = (
     msgspec.MsgspecError,
     ArithmeticError,
     IndexError,
@@ -31,59 +31,63 @@
 
 
 class MalformedMessageError(Exception):
-    """A message that cannot be read; the text says why."""
+    """A message that cannot be encoded or decoded; the text says why."""
 
 
 class _ErrorTranslation:
-    """A context that turns what is wrong with a message into one error."""
+    """A context manager that converts coding errors to one error type."""
 
-    __slots__ = ('_kind',)
+    __slots__ = ('_error_type',)
 
-    def __init__(self, kind: type[Exception]) -> None:
-        """Raise errors of a kind."""
-        self._kind = kind
+    def __init__(self, error_type: type[Exception]) -> None:
+        """Set the type of error to raise."""
+        self._error_type = error_type
 
     def __enter__(self) -> None:
-        """Begin to read."""
+        """Enter the context."""
 
     def __exit__(
-        self, kind: object, error: BaseException | None, trace: object
+        self,
+        raised_type: object,
+        error: BaseException | None,
+        traceback: object,
     ) -> None:
-        """Raise the reader's error, or leave one of the program as it is."""
-        if isinstance(error, _DECODING_ERRORS):
-            raise self._kind(str(error)[:MAX_ERROR_LENGTH]) from error
+        """Convert a coding error; any other error passes unchanged."""
+        if isinstance(error, _CODING_ERRORS):
+            raise self._error_type(str(error)[:MAX_ERROR_LENGTH]) from error
 
 
 def translate_errors(
-    kind: type[Exception] = MalformedMessageError,
+    error_type: type[Exception] = MalformedMessageError,
 ) -> _ErrorTranslation:
-    """Raise an error of a kind for whatever is wrong with a message.
+    """Raise error_type for any error of encoding or decoding a message.
 
-    A class, since each event passes here: a generator takes 2 us more.
+    The context manager is a class because each event passes through it: a
+    generator-based one takes 2 us more.
     """
-    return _ErrorTranslation(kind)
+    return _ErrorTranslation(error_type)
 
 
-def find_encoding_error(said: Any) -> str:
-    """Return why no message can carry free-form data, or nothing.
+def find_encoding_error(json_data: Any) -> str:
+    """Return why free-form data cannot be encoded in a message, or ''.
 
-    The data is that of JSON: dictionaries, lists, texts and numbers.
+    The data is decoded JSON: dictionaries, lists, strings and numbers.
     """
-    level = [said]
+    level = [json_data]
     for _ in range(MAX_NESTING_DEPTH):
         if not all(map(_is_in_range, level)):
-            return 'a number is too large'
-        level = [inner for one in level for inner in _children_of(one)]
+            return 'an integer exceeds 2**63 - 1 in magnitude'
+        level = [child for parent in level for child in _children_of(parent)]
         if not level:
             return ''
-    return f'nested more than {MAX_NESTING_DEPTH} deep'
+    return f'nested more than {MAX_NESTING_DEPTH} levels deep'
 
 
-def _is_in_range(said: Any) -> bool:
-    return not isinstance(said, int) or abs(said) <= _MAX_INTEGER
+def _is_in_range(node: Any) -> bool:
+    return not isinstance(node, int) or abs(node) <= _MAX_INTEGER
 
 
-def _children_of(said: Any) -> list[Any]:
-    if isinstance(said, dict):
-        return list(said.values())
-    return said if isinstance(said, list) else []
+def _children_of(node: Any) -> list[Any]:
+    if isinstance(node, dict):
+        return list(node.values())
+    return node if isinstance(node, list) else []
--- a/mulberrywalk/transport/decoding_test.py
+++ b/mulberrywalk/transport/decoding_test.py
@@ -1,17 +1,20 @@
-"""Whatever is wrong with a message, its reader has to expect one error."""
+"""Tests that each kind of malformed message raises the same error type.
+
+Readers of messages catch that type only.
+"""
 
 import msgspec
 import pytest
 
 from . import decoding
 
-DEEP = b'[' * 100_000 + b']' * 100_000
+DEEPLY_NESTED = b'[' * 100_000 + b']' * 100_000
 
 
 @pytest.mark.parametrize(
-    'encoded', [b'{', b'"\xff"', b'1e400', DEEP, b'', b'}']
+    'encoded', [b'{', b'"\xff"', b'1e400', DEEPLY_NESTED, b'', b'}']
 )
-def test_bytes_that_cannot_be_read_raise_one_error(encoded):
+def test_undecodable_bytes_raise_malformed_message_error(encoded):
     with (
         pytest.raises(decoding.MalformedMessageError),
         decoding.translate_errors(),
@@ -19,7 +22,7 @@
         msgspec.json.decode(encoded)
 
 
-def test_number_that_is_too_large_raises_the_error_of_the_reader():
+def test_number_out_of_range_raises_given_error_type():
     with (
         pytest.raises(ConnectionError),
         decoding.translate_errors(ConnectionError),
@@ -27,16 +30,16 @@
         round(float('inf'))
 
 
-def test_error_does_not_quote_a_whole_message():
+def test_error_text_does_not_quote_whole_message():
     with (
-        pytest.raises(decoding.MalformedMessageError) as told,
+        pytest.raises(decoding.MalformedMessageError) as raised,
         decoding.translate_errors(),
     ):
         raise ValueError('x' * 100_000)
-    assert len(str(told.value)) == decoding.MAX_ERROR_LENGTH
+    assert len(str(raised.value)) == decoding.MAX_ERROR_LENGTH
 
 
-def test_fault_of_the_program_is_not_taken_for_one_of_the_message():
+def test_programming_error_is_not_translated():
     with pytest.raises(TypeError), decoding.translate_errors():
         raise TypeError
 
@@ -49,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ('said', 'is_fine'),
+    ('json_data', 'is_encodable'),
     [
         ({'a': [1, 'x', None, 1.5, True]}, True),
         (nest(7), True),
@@ -60,5 +63,5 @@
         (-(10**40), False),
     ],
 )
-def test_data_that_no_message_can_carry_has_a_fault(said, is_fine):
-    assert bool(decoding.find_encoding_error(said)) is not is_fine
+def test_find_encoding_error_detects_unencodable_data(json_data, is_encodable):
+    assert bool(decoding.find_encoding_error(json_data)) is not is_encodable
--- a/mulberrywalk/transport/wire.py
+++ b/mulberrywalk/transport/wire.py
@@ -1,4 +1,4 @@
-"""Messages between entries and replicas, and between replicas."""
+"""Messages between entries and replicas, and among replicas."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class GetJob(msgspec.Struct, frozen=True, tag=True):
-    """Read a job; answered at its end when is_waiting."""
+    """Read a job; with is_waiting the reply is sent when the job ends."""
 
     job: identity.JobId
     is_waiting: bool = False
@@ -38,7 +38,7 @@
 
 
 class PatchConfiguration(msgspec.Struct, frozen=True, tag=True):
-    """Patch the configuration of the version named."""
+    """Patch the configuration; version is the one it is based on."""
 
     request_id: str
     version: int
@@ -46,15 +46,15 @@
 
 
 class GetConfiguration(msgspec.Struct, frozen=True, tag=True):
-    """Read the configuration and which version each process has."""
+    """Read the configuration and the version that each process applies."""
 
 
 class GetMembers(msgspec.Struct, frozen=True, tag=True):
-    """Read the replicas and the entries that the leader knows."""
+    """Read the replicas and the entries known to the leader."""
 
 
 class GetTargets(msgspec.Struct, frozen=True, tag=True):
-    """Read the targets with what is free on them."""
+    """Read the targets and their free resources."""
 
 
 class OpenSession(msgspec.Struct, frozen=True, tag=True):
@@ -64,7 +64,7 @@
 
 
 class DrainTarget(msgspec.Struct, frozen=True, tag=True):
-    """An operator lets a target take no new work."""
+    """Stop placing new work on a target, on an operator's request."""
 
     target: identity.TargetId
 
@@ -76,7 +76,7 @@
 
 
 class CountPending(msgspec.Struct, frozen=True, tag=True):
-    """Ask how many jobs of a queue have not begun."""
+    """Count the jobs of a queue that have not started."""
 
     queue: str
 
@@ -98,26 +98,26 @@
 
 
 class Call(msgspec.Struct, frozen=True, tag=True):
-    """A request and the ticket that its reply will carry."""
+    """A request; ticket is the correlation number that its reply repeats."""
 
     ticket: int
     request: Request
 
 
 class Renewals(msgspec.Struct, frozen=True, tag=True):
-    """Sessions whose targets asked to renew, with their own counts."""
+    """Sessions to renew, each with its target's sequence number."""
 
     sessions: tuple[tuple[identity.SessionId, int], ...]
 
 
 class PolledSessions(msgspec.Struct, frozen=True, tag='Carried'):
-    """The sessions of called targets that an entry carries as it links."""
+    """Sessions of the targets that an entry polls, sent when it connects."""
 
     sessions: tuple[identity.SessionId, ...]
 
 
 class Report(msgspec.Struct, frozen=True, tag=True):
-    """Starts, ends and usage that a target reports."""
+    """Starts, ends, usage and checkpoints that a target reports."""
 
     session: identity.SessionId
     started: tuple[event.AttemptStart, ...] = ()
@@ -127,16 +127,16 @@
 
 
 class Departure(msgspec.Struct, frozen=True, tag=True):
-    """A target is leaving; said again until its session shows it."""
+    """A target is leaving; repeated until its session reflects it."""
 
     session: identity.SessionId
 
 
 class EntryHeartbeat(msgspec.Struct, frozen=True, tag='EntryPulse'):
-    """An entry is alive and applies this version of the configuration.
+    """The heartbeat of an entry, with the configuration version it applies.
 
-    sent_at is the entry's monotonic clock in milliseconds. An entry that is
-    stopping calls no more targets.
+    sent_at is the entry's monotonic clock in milliseconds. With is_stopping
+    the entry is shutting down and polls no more targets.
     """
 
     version: int
@@ -146,9 +146,10 @@
 
 
 class AdviceResult(msgspec.Struct, frozen=True, tag='Advised'):
-    """The adviser's answer for a step; nothing asked when it failed.
+    """The adviser's answer for a step; asked is empty when the request failed.
 
-    age_ms is how long ago the adviser was asked.
+    allowed pairs each allowed target with its ticket. age_ms is the time since
+    the adviser was asked.
     """
 
     step: identity.StepId
@@ -169,7 +170,7 @@
 
 
 class FromEntryBatch(msgspec.Struct, frozen=True):
-    """What an entry sends at once; clock is a hybrid logical stamp."""
+    """Messages from an entry; clock is a hybrid logical timestamp."""
 
     process: str
     data_centre: str
@@ -178,14 +179,14 @@
 
 
 class Reply(msgspec.Struct, frozen=True, tag=True):
-    """The answer to a call, plain data with an outcome tag."""
+    """The reply to a call; body is an outcome with its tag."""
 
     ticket: int
     body: dict[str, Any]
 
 
 class StartCommand(msgspec.Struct, frozen=True):
-    """Start an attempt; checkpoint is what an earlier attempt left."""
+    """Start an attempt, from the checkpoint of an earlier one if set."""
 
     attempt: identity.AttemptId
     task: identity.TaskId
@@ -201,14 +202,14 @@
 
 
 class StopCommand(msgspec.Struct, frozen=True):
-    """Stop an attempt; is_checkpointed asks it to save its progress."""
+    """Stop an attempt; is_checkpointed asks it to save its progress first."""
 
     attempt: identity.AttemptId
     is_checkpointed: bool
 
 
 class Commands(msgspec.Struct, frozen=True, tag=True):
-    """What the target of a session is to do."""
+    """Commands to the target of a session."""
 
     session: identity.SessionId
     start: tuple[StartCommand, ...] = ()
@@ -218,10 +219,10 @@
     term: int = 0
 
 
-class Share(msgspec.Struct, frozen=True):
-    """How an attempt shares its target with others.
+class AttemptSharing(msgspec.Struct, frozen=True):
+    """How an attempt shares its target with other attempts.
 
-    latency_target_ms is zero unless the attempt serves users of its own.
+    latency_target_ms is zero unless the attempt serves user requests.
     """
 
     attempt: identity.AttemptId
@@ -230,10 +231,11 @@
 
 
 class Assignment(msgspec.Struct, frozen=True, tag=True):
-    """The entry is to call a target of a session.
+    """Assigns a polled target and its session to the entry.
 
-    born_at is the life that the session is with; term is the leader's, and
-    fences orders of earlier ones. shares tells of the live attempts.
+    born_at identifies the incarnation of the target that the session belongs
+    to. term is the leader's; it fences off commands from earlier leaders.
+    shares lists the live attempts.
     """
 
     session: identity.SessionId
@@ -242,33 +244,34 @@
     born_at: int
     term: int
     lease_ms: int
-    shares: tuple[Share, ...] = ()
+    shares: tuple[AttemptSharing, ...] = ()
 
 
 class AdviceRequest(msgspec.Struct, frozen=True, tag='AdviceWanted'):
-    """The entry is to ask the adviser about a step."""
+    """Asks the entry to query the adviser about a step."""
 
     step: identity.StepId
     targets: tuple[identity.TargetId, ...]
 
 
 class RenewedSessions(msgspec.Struct, frozen=True, tag='Renewed'):
-    """Renewals that the leader has received while its lease held."""
+    """Renewals that the leader accepted while it held its lease."""
 
     sessions: tuple[tuple[identity.SessionId, int], ...]
 
 
 class EndedSessions(msgspec.Struct, frozen=True, tag='Gone'):
-    """Sessions that have ended: their targets stop all they run."""
+    """Sessions that have ended; their targets must stop all attempts."""
 
     sessions: tuple[identity.SessionId, ...]
 
 
 class LeaderHeartbeat(msgspec.Struct, frozen=True, tag='LeaderPulse'):
-    """The leader's lease holds and this version is in force.
+    """The leader holds its lease, and this configuration version is in force.
 
-    echo is the sent_at of the latest pulse that the entry has sent: the entry
-    counts from then, so that a pulse that lay in a buffer proves nothing.
+    echo is the sent_at of the latest heartbeat received from the entry. The
+    entry measures from that time, so that a heartbeat delayed in a buffer does
+    not count as recent.
     """
 
     version: int
@@ -276,19 +279,19 @@
 
 
 class ConfigurationChanged(msgspec.Struct, frozen=True, tag=True):
-    """The configuration that is in force from now on."""
+    """The new configuration, in force from now on."""
 
     configuration: configuration.Configuration
 
 
 class MembersChanged(msgspec.Struct, frozen=True, tag=True):
-    """Where the replicas listen."""
+    """The addresses of the replicas, after a change."""
 
     addresses: tuple[str, ...]
 
 
 class Redirect(msgspec.Struct, frozen=True, tag=True):
-    """This replica does not lead; address is the leader's, or empty."""
+    """This replica is not the leader; address is the leader's, if known."""
 
     address: str
 
@@ -308,7 +311,7 @@
 
 
 class ToEntryBatch(msgspec.Struct, frozen=True):
-    """What a replica sends to an entry at once."""
+    """Messages from a replica; clock is a hybrid logical timestamp."""
 
     process: str
     clock: int
@@ -316,16 +319,16 @@
 
 
 class Status(msgspec.Struct, frozen=True):
-    """The configuration that a replica has applied, and what it consumes."""
+    """The configuration version that a replica applies, and its cost."""
 
     version: int
     cost: cost.Cost
 
 
 class PeerBatch(msgspec.Struct, frozen=True):
-    """Consensus messages from one replica; empty as a heartbeat.
+    """Consensus messages from one replica; an empty batch is a heartbeat.
 
-    status comes with the replies to batches.
+    status is set in replies to batches only.
     """
 
     sender: message.ReplicaId
@@ -341,9 +344,9 @@
 
 
 class JoinReply(msgspec.Struct, frozen=True):
-    """Whether the spare was admitted; leader is where to ask instead.
+    """Whether the spare was admitted; leader is the address to ask instead.
 
-    members tells a replica that has no log yet whom it will hear from.
+    members tells a replica without a log which replicas will contact it.
     """
 
     is_admitted: bool
@@ -352,12 +355,12 @@
 
 
 class TimelineRequest(msgspec.Struct, frozen=True):
-    """Ask a replica for the lines that it keeps."""
+    """Ask a replica for the timeline lines that match a filter."""
 
     wanted: journal.Filter
 
 
 class TimelineReply(msgspec.Struct, frozen=True):
-    """The lines that match."""
+    """The matching timeline lines that the replica has kept."""
 
     lines: tuple[journal.Line, ...]
