--- a/mulberrywalk/platform/bound.py
+++ b/mulberrywalk/platform/bound.py
@@ -34,7 +34,7 @@
 _MAX_PORT = 65_535
 _OCTET = '(25[0-5]|2[0-4][0-9]|1[0-9]{2}|[1-9]?[0-9])'
 _IPV4_ADDRESS = re.compile(rf'({_OCTET}\.){{3}}{_OCTET}')
-# Printable ASCII, because the id is used in paths and headers.
+# Printable ASCII without spaces, because paths and headers contain the id.
 _WORKER_ID = re.compile(f'[!-~]{{1,{MAX_TEXT_LENGTH}}}')
 
 Port: TypeAlias = Annotated[int, msgspec.Meta(ge=1, le=_MAX_PORT)]
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -341,7 +341,7 @@
 ) -> target_client.RunningAttempt:
     """Convert a row of task, run, checkpoint, percent and gauge.
 
-    A gauge that is missing, negative or not a number counts as zero.
+    A gauge that is missing, not a number or out of range counts as zero.
     """
     gauge = row[_GAUGE_INDEX] if len(row) > _GAUGE_INDEX else 0
     return target_client.RunningAttempt(
