--- a/mulberrywalk/platform/entry.py
+++ b/mulberrywalk/platform/entry.py
@@ -44,7 +44,7 @@
         async def show_metrics(
             scope: dict[str, Any], receive: http.Receive, send: http.Send
         ) -> None:
-            await http.write_text(send, components.metrics.show())
+            await http.write_text(send, components.metrics.render())
 
         by_port = {api_port: application, http.METRICS_PORT: show_metrics}
 
--- a/mulberrywalk/platform/replica.py
+++ b/mulberrywalk/platform/replica.py
@@ -45,7 +45,7 @@
             if scope['type'] == 'lifespan':
                 await http.handle_lifespan(receive, send)
             elif scope['server'][1] == http.METRICS_PORT:
-                await http.write_text(send, components.metrics.show())
+                await http.write_text(send, components.metrics.render())
             elif scope['type'] == 'http':
                 await api.serve(scope, receive, send)
 
@@ -85,7 +85,7 @@
             )
         )
     )
-    storage.found(folder, founders, f'replica-{settings.ip}')
+    storage.create_identity(folder, founders, f'replica-{settings.ip}')
 
 
 def to_replica_settings(
--- a/mulberrywalk/platform/wire.py
+++ b/mulberrywalk/platform/wire.py
@@ -10,7 +10,7 @@
 from ..core import configuration, event, identity, job, resource
 from ..entry import target_client
 from ..replica import registry
-from ..transport import reading
+from ..transport import decoding
 from . import bound
 
 _PERCENT = 100
@@ -190,7 +190,7 @@
 
 def read_routing(body: bytes) -> configuration.Routing:
     """Decode the routing of a configuration; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         decoded = _configuration_decoder.decode(body)
         return configuration.Routing(
             version=decoded.version,
@@ -208,7 +208,7 @@
     body: bytes, name: str, queue: configuration.Queue
 ) -> job.Specification:
     """Decode the specification of a job in a queue; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         decoded = _job_decoder.decode(body)
         steps = tuple(_to_step(phase) for phase in decoded.phases)
         fields = {
@@ -233,7 +233,7 @@
     name: str, body: bytes, lease_ms: int
 ) -> registry.TargetHeartbeat:
     """Decode the heartbeat of a worker; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         return _to_target_heartbeat(
             name, _heartbeat_decoder.decode(body), lease_ms
         )
@@ -280,7 +280,7 @@
 
 def read_listing(body: bytes) -> target_client.PollResult:
     """Decode the listing of a worker; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         decoded = _listing_decoder.decode(body)
         running = tuple(_to_running_attempt(row) for row in decoded.running)
         ended = tuple(_to_ended_attempt(row) for row in decoded.finished)
@@ -292,7 +292,7 @@
 def read_refusal(body: bytes) -> target_client.CallResult:
     """Decode the reason of a refusal, or return INVALID."""
     try:
-        with reading.refused_as(WireError):
+        with decoding.translate_errors(WireError):
             decoded = _refusal_decoder.decode(body)
     except WireError:
         return target_client.CallResult.INVALID
@@ -303,7 +303,7 @@
 
 def read_tickets(body: bytes) -> tuple[tuple[identity.TargetId, str], ...]:
     """Decode the allowed workers and their tickets; raises WireError."""
-    with reading.refused_as(WireError):
+    with decoding.translate_errors(WireError):
         decoded = _advice_decoder.decode(body)
     rows = (
         (row.id, row.ticket) if isinstance(row, Ticket) else row
--- a/mulberrywalk/replica/advice_queue.py
+++ b/mulberrywalk/replica/advice_queue.py
@@ -70,7 +70,7 @@
         self._waiting.pop(wanted.step)
         deadline = now + wanted.expected_ms + _GRACE_MS
         self._open[wanted.step] = OpenRequest(wanted, entry, deadline)
-        entry.send(wire.AdviceWanted(wanted.step, wanted.targets))
+        entry.send(wire.AdviceRequest(wanted.step, wanted.targets))
 
     def _choose_entry(self, wanted: effect.AskAdvice) -> link.Link | None:
         entries = [
--- a/mulberrywalk/replica/advice_queue_test.py
+++ b/mulberrywalk/replica/advice_queue_test.py
@@ -35,7 +35,7 @@
     return [
         message.step
         for message in sent
-        if isinstance(message, wire.AdviceWanted)
+        if isinstance(message, wire.AdviceRequest)
     ]
 
 
--- a/mulberrywalk/replica/assignment_test.py
+++ b/mulberrywalk/replica/assignment_test.py
@@ -142,8 +142,10 @@
     scene.entries[1].is_stopping = False
     assert scene.rebalance(4000) == 'e1'
     sent = anyio.run(scene.entries[0].outbox.take, 0)
-    gone = [message for message in sent if isinstance(message, wire.Gone)]
-    assert gone == [wire.Gone((scene.engine.session,))]
+    gone = [
+        message for message in sent if isinstance(message, wire.EndedSessions)
+    ]
+    assert gone == [wire.EndedSessions((scene.engine.session,))]
 
 
 def test_only_the_assigned_entry_may_renew_a_session():
--- a/mulberrywalk/replica/leader.py
+++ b/mulberrywalk/replica/leader.py
@@ -139,7 +139,7 @@
             )
             address = leader.address if leader else ''
             return wire.JoinReply(is_member, address, members)
-        planned = repair.admit(raft_node, request.member)
+        planned = repair.add_learner(raft_node, request.member)
         if planned is not None:
             self._journal.record('spare admitted', request.member.identity)
             self._engine.enqueue(node.MembershipProposed(planned))
@@ -249,10 +249,10 @@
         )
 
     def _repair_membership(self) -> None:
-        planned = repair.plan(
+        planned = repair.plan_membership_change(
             self._engine.node,
-            voters=self._policy.voters,
-            patience_ms=self._policy.repair_after_ms,
+            voter_count=self._policy.voters,
+            timeout_ms=self._policy.repair_after_ms,
         )
         if planned is not None:
             voter_names = ', '.join(planned.voters())
@@ -314,7 +314,7 @@
 
     def _end_session(self, applied_effect: effect.EndSession) -> None:
         entry = self._leases.entry_of(applied_effect.session)
-        self.links.send(entry, wire.Gone((applied_effect.session,)))
+        self.links.send(entry, wire.EndedSessions((applied_effect.session,)))
         self._leases.remove(applied_effect.session)
 
     def _report_job_end(self, applied_effect: effect.ReportJobEnd) -> None:
--- a/mulberrywalk/replica/peer.py
+++ b/mulberrywalk/replica/peer.py
@@ -81,7 +81,7 @@
         try:
             while True:
                 batch = await stream.receive()
-                self._journal.clock.witness(batch.clock)
+                self._journal.clock.observe(batch.clock)
                 for body in batch.messages:
                     self._engine.enqueue(node.Received(batch.sender, body))
                 await stream.send(self._reply())
@@ -106,10 +106,10 @@
                 connection, channel.PEER, wire.PeerBatch, self._statuses.meter
             )
             while True:
-                messages = await outbox.take(channel.PULSE_S)
+                messages = await outbox.take(channel.HEARTBEAT_INTERVAL_S)
                 await stream.send(self._batch(messages))
                 reply = await stream.receive()
-                self._journal.clock.witness(reply.clock)
+                self._journal.clock.observe(reply.clock)
                 self._statuses.update(member.identity, reply.status)
 
     def _reply(self) -> wire.PeerBatch:
--- a/mulberrywalk/replica/state_machine.py
+++ b/mulberrywalk/replica/state_machine.py
@@ -15,7 +15,7 @@
 
 from ..consensus import message
 from ..core import effect, event, outcome, reducer, snapshot, state
-from ..transport import reading
+from ..transport import decoding
 
 _events_decoder = msgspec.msgpack.Decoder(list[event.Event])
 _event_decoder = msgspec.msgpack.Decoder(event.Event)
@@ -25,11 +25,11 @@
 def encode_event(new_event: event.Event) -> msgspec.Raw:
     """Return the encoding of an event in the log.
 
-    Raises UnreadableError when the event cannot be encoded, or when its
+    Raises MalformedMessageError when the event cannot be encoded, or when its
     encoding cannot be decoded: such an entry would crash every replica each
     time that it starts.
     """
-    with reading.refused_as():
+    with decoding.translate_errors():
         encoded = _encoder.encode(new_event)
         _event_decoder.decode(encoded)
     return msgspec.Raw(encoded)
