--- a/mulberrywalk/storage/disk_test.py
+++ b/mulberrywalk/storage/disk_test.py
@@ -28,7 +28,7 @@
     return tmp_path
 
 
-def only(paths):
+def single(paths):
     assert len(paths) == 1, paths
     return paths[0]
 
@@ -161,7 +161,7 @@
     with monkeypatch.context() as patched:
         patched.setattr(disk.os, 'fdatasync', lambda descriptor: None)
         opened.write([entries(1, 2)])
-    segment = only(segments(folder))
+    segment = single(segments(folder))
     synced = []
     fsync = disk.os.fsync
 
--- a/mulberrywalk/storage/frame_test.py
+++ b/mulberrywalk/storage/frame_test.py
@@ -1,4 +1,4 @@
-"""Tests that frames are told apart from arbitrary bytes in little time."""
+"""Tests the detection of torn writes and damage, and how long it takes."""
 
 import random
 import time
