--- a/demo/cell.py
+++ b/demo/cell.py
@@ -98,9 +98,9 @@
 class Plan:
     """The size of a cell, its options and the folder of its files.
 
-    spares counts the replicas that are started but are not founders;
-    rack_size the targets of a rack. behaviours maps the number of a target
-    to one of the behaviours of runner.Runner; other targets obey.
+    spares is the number of replicas that are started but are not founders,
+    rack_size the number of targets in a rack. behaviours maps the number of
+    a target to a behaviour of runner.Runner; the other targets obey.
     """
 
     folder: pathlib.Path
@@ -133,7 +133,10 @@
         self.dialled_entries = list(self.entry_addresses)
 
     def start(self) -> None:
-        """Start all processes and wait until all targets have sessions."""
+        """Start all processes and wait until all targets have sessions.
+
+        Raises CellError if the cell is not ready within READY_TIMEOUT_S.
+        """
         self.plan.folder.mkdir(parents=True, exist_ok=True)
         for number in range(self.plan.replicas):
             self.init_replica(number)
--- a/demo/runner.py
+++ b/demo/runner.py
@@ -136,7 +136,10 @@
             self.unacknowledged_ends.pop(attempt, None)
 
     def end_session(self, at: int) -> None:
-        """Cancel all attempts, recorded as ended at monotonic ms at."""
+        """Cancel all attempts, record their ends and clear the state.
+
+        at is the time of the ends in monotonic ms.
+        """
         for attempt, scope in self.running.items():
             scope.cancel()
             self._history.record('end', {_ATTEMPT: attempt}, at)
