--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Features and histories over real processes."""
+"""Tests and benchmarks that run real processes."""
--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""Measures the slopes of docs/CAPACITY.md; run by make bench."""
+"""Measures the costs listed in docs/CAPACITY.md; run by make bench."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def measure_reducer() -> Table:
-    """Return processor time and memory of the state by number of targets."""
+    """Return CPU time and memory of the scheduler state by cell size."""
     table = Table(
         'targets',
         'tasks running',
@@ -58,17 +58,20 @@
 
 
 def measure_size(targets: int) -> list[str]:
-    """Return a row: a cell with its usual load, then a stream of tasks."""
+    """Return the row of a cell: its usual load, then a stream of tasks."""
     running = replay.Replay(
         replay.FleetPlan(targets, CAPACITY, rack_size=8, data_centres=4)
     )
-    standing = round(targets * TASKS_PER_TARGET)
-    fill = [arrival(number, at=0, run_ms=10**9) for number in range(standing)]
-    running.run(fill, until=9)
+    background_count = round(targets * TASKS_PER_TARGET)
+    background = [
+        arrival(number, at=0, run_ms=10**9)
+        for number in range(background_count)
+    ]
+    running.run(background, until=9)
     running.seen.event_ns.clear()
     running.seen.starts = 0
     stream = [
-        arrival(standing + number, at=10 + number * 2, run_ms=100)
+        arrival(background_count + number, at=10 + number * 2, run_ms=100)
         for number in range(MEASURED_TASKS)
     ]
     gc.collect()
@@ -96,7 +99,7 @@
 
 
 def arrival(number: int, at: int, run_ms: int) -> replay.Arrival:
-    """Return a job of one task; a fifth of them are services."""
+    """Return the arrival of a one-task job; every fifth job is a service."""
     kind = job.Kind.REQUEST
     if number % 5 == 0:
         kind = job.Kind.SERVICE
@@ -119,7 +122,7 @@
 
 
 def measure_messages() -> Table:
-    """Return the size of what the processes say to each other."""
+    """Return the size and codec time of messages between processes."""
     table = Table('message', 'bytes', 'encode + decode us')
     submitted = event.JobSubmitted(1, arrival(1, 0, 1).specification, 'd' * 64)
     started = event.AttemptStart('j123456.0/1', 1_796_378_794_430)
@@ -136,19 +139,19 @@
         message.EntryKind.COMMAND,
         msgspec.msgpack.encode([submitted, *reports, event.TimePassed(1)]),
     )
-    pulse = message.AppendRequest(7, 1, 7, (), 1, 123_456_789)
+    heartbeat = message.AppendRequest(7, 1, 7, (), 1, 123_456_789)
     renewals = wire.Renewals(
         tuple((f's{number}', 123_456) for number in range(100))
     )
     rows = (
         ('log entry of one task: submitted, started, ended', entry),
-        ('heartbeat of the consensus', pulse),
+        ('heartbeat of the consensus', heartbeat),
         ('renewals of 100 sessions', renewals),
         ('start command', start_command()),
         ('time line event', journal.Line(1 << 56, 'replica-1', 'dc', 'placed')),
     )
-    for name, shown in rows:
-        table.add_row(name, *measure_codec(shown))
+    for name, encodable in rows:
+        table.add_row(name, *measure_codec(encodable))
     return table
 
 
@@ -160,16 +163,16 @@
     return wire.Commands('s123456', start=(command,))
 
 
-def measure_codec(shown: object) -> list[str]:
-    """Return the size of a message and the time to write and read it."""
-    decoder = msgspec.msgpack.Decoder(type(shown))
+def measure_codec(encodable: object) -> list[str]:
+    """Return the size of a message in bytes and its codec time in us."""
+    decoder = msgspec.msgpack.Decoder(type(encodable))
     encoder = msgspec.msgpack.Encoder()
     rounds = 2000
     began_at = time.process_time()
     for _ in itertools.repeat(None, rounds):
-        decoder.decode(encoder.encode(shown))
+        decoder.decode(encoder.encode(encodable))
     seconds = time.process_time() - began_at
-    size = len(encoder.encode(shown))
+    size = len(encoder.encode(encodable))
     return [str(size), f'{seconds * 1e6 / rounds:.1f}']
 
 
--- a/tests/fault.py
+++ b/tests/fault.py
@@ -1,7 +1,7 @@
-"""Faults that strike processes of a cell and are mended later.
+"""Faults that are injected into processes of a cell and reverted later.
 
-Victims are chosen before anything is struck, so that any two faults can
-strike together.
+The processes are selected before any fault is injected, so that any two
+faults can be combined.
 """
 
 from __future__ import annotations
@@ -19,76 +19,76 @@
 _INTERVAL_S = 0.5
 _FAILED_DATA_CENTRE = 'doto-obihiro'
 
-Names = list[str]
-Action = Callable[[harness.Cluster, Names], None]
+ProcessNames = list[str]
+Action = Callable[[harness.Cluster, ProcessNames], None]
 
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """What is done to which processes, and for how long.
+    """A fault: which processes it affects, its effect and its duration.
 
-    duration_s, in seconds, outlasts every lease.
+    duration_s is in seconds; its default is longer than every lease.
     """
 
-    select: Callable[[harness.Cluster], Names]
-    inject: Action
+    select: Callable[[harness.Cluster], ProcessNames]
+    apply: Action
     revert: Action
     duration_s: int = DURATION_S
 
 
 def inject(cluster: harness.Cluster, *names: str) -> None:
-    """Let faults strike shortly after each other, then mend them all."""
+    """Inject faults in quick succession, revert them all and settle."""
     faults = [FAULTS[name] for name in names]
-    victims = [one.select(cluster) for one in faults]
-    for one, hit in zip(faults, victims, strict=True):
-        one.inject(cluster, hit)
+    affected = [one.select(cluster) for one in faults]
+    for one, selected in zip(faults, affected, strict=True):
+        one.apply(cluster, selected)
         time.sleep(_INTERVAL_S)
     time.sleep(max(fault.duration_s for fault in faults))
-    for mended, victim in zip(faults, victims, strict=True):
-        mended.revert(cluster, victim)
+    for reverted, affected_names in zip(faults, affected, strict=True):
+        reverted.revert(cluster, affected_names)
     harness.settle()
 
 
 def inject_twice(cluster: harness.Cluster, name: str) -> None:
-    """Let a fault strike again soon after it was mended."""
+    """Inject a fault, revert it and soon after inject it again."""
     fault = FAULTS[name]
     chosen = fault.select(cluster)
-    fault.inject(cluster, chosen)
+    fault.apply(cluster, chosen)
     time.sleep(fault.duration_s)
     fault.revert(cluster, chosen)
     time.sleep(harness.WARM_UP_S)
     inject(cluster, name)
 
 
-def _leader(cluster: harness.Cluster) -> Names:
+def _leader(cluster: harness.Cluster) -> ProcessNames:
     return [cluster.running_cell.leader()]
 
 
-def _follower(cluster: harness.Cluster) -> Names:
+def _follower(cluster: harness.Cluster) -> ProcessNames:
     return [cluster.follower()]
 
 
-def _replicas(cluster: harness.Cluster) -> Names:
+def _replicas(cluster: harness.Cluster) -> ProcessNames:
     return cluster.replicas()
 
 
-def _entry(_: harness.Cluster) -> Names:
+def _entry(_: harness.Cluster) -> ProcessNames:
     return ['entry-0']
 
 
-def _other_entry(_: harness.Cluster) -> Names:
+def _other_entry(_: harness.Cluster) -> ProcessNames:
     return ['entry-1']
 
 
-def _target(_: harness.Cluster) -> Names:
+def _target(_: harness.Cluster) -> ProcessNames:
     return ['target-0']
 
 
-def _targets(_: harness.Cluster) -> Names:
+def _targets(_: harness.Cluster) -> ProcessNames:
     return ['target-0', 'target-1']
 
 
-def _data_centre(cluster: harness.Cluster) -> Names:
+def _data_centre(cluster: harness.Cluster) -> ProcessNames:
     return [
         name
         for name, process in cluster.running_cell.processes.items()
@@ -96,52 +96,52 @@
     ]
 
 
-def _kill(cluster: harness.Cluster, names: Names) -> None:
+def _kill(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.process(name).kill()
 
 
-def _restart(cluster: harness.Cluster, names: Names) -> None:
+def _restart(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.process(name).start_again()
 
 
-def _kill_and_erase_disk(cluster: harness.Cluster, names: Names) -> None:
+def _kill_and_erase_disk(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.process(name).kill()
         harness.clear_folder(cluster.running_cell.plan.folder / name)
 
 
-def _pause(cluster: harness.Cluster, names: Names) -> None:
+def _pause(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.process(name).signal(signal.SIGSTOP)
 
 
-def _resume(cluster: harness.Cluster, names: Names) -> None:
+def _resume(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.process(name).signal(signal.SIGCONT)
 
 
-def _isolate(cluster: harness.Cluster, names: Names) -> None:
+def _isolate(cluster: harness.Cluster, names: ProcessNames) -> None:
     cluster.network.isolate(*names)
 
 
-def _block_inbound(cluster: harness.Cluster, names: Names) -> None:
+def _block_inbound(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.network.block_inbound(name)
 
 
-def _heal(cluster: harness.Cluster, _: Names) -> None:
+def _heal(cluster: harness.Cluster, _: ProcessNames) -> None:
     cluster.network.heal()
 
 
-def _blackhole(cluster: harness.Cluster, names: Names) -> None:
+def _blackhole(cluster: harness.Cluster, names: ProcessNames) -> None:
     for name in names:
         cluster.network.blackhole(name)
 
 
-def _do_nothing(cluster: harness.Cluster, _: Names) -> None:
-    """Mend nothing: the processes must find out for themselves."""
+def _do_nothing(cluster: harness.Cluster, _: ProcessNames) -> None:
+    """Revert nothing: the processes must detect dead connections."""
 
 
 FAULTS = MappingProxyType(
@@ -160,20 +160,20 @@
         'an entry is paused': Fault(_other_entry, _pause, _resume),
         'a target is paused': Fault(_target, _pause, _resume),
         'the leader is isolated': Fault(_leader, _isolate, _heal, PARTITION_S),
-        'the leader hears nothing': Fault(
+        'the leader receives no connections': Fault(
             _leader, _block_inbound, _heal, PARTITION_S
         ),
         'an entry is isolated': Fault(
             _other_entry, _isolate, _heal, PARTITION_S
         ),
-        'all connections of the leader fall silent': Fault(
+        'all connections of the leader are blackholed': Fault(
             _leader, _blackhole, _do_nothing
         ),
-        'all connections of an entry fall silent': Fault(
+        'all connections of an entry are blackholed': Fault(
             _entry, _blackhole, _do_nothing
         ),
         'a data centre is lost': Fault(_data_centre, _kill, _restart),
-        'a data centre is cut off': Fault(
+        'a data centre is isolated': Fault(
             _data_centre, _isolate, _heal, PARTITION_S
         ),
     }
--- a/tests/floods.py
+++ b/tests/floods.py
@@ -1,4 +1,4 @@
-"""Runs the load tool against a cell of processes; by make floods."""
+"""Runs the load tool against a cell of real processes; run by make floods."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def main() -> int:
-    """Run each mix in a fresh cell with each seed; zero when all ran."""
+    """Run each mix and seed in a new cell; return 0 if all runs succeeded."""
     return max(_run(seed, *options) for options in _RUNS for seed in _SEEDS)
 
 
--- a/tests/guarantees_test.py
+++ b/tests/guarantees_test.py
@@ -1,4 +1,4 @@
-"""Steps of guarantees.feature: faults over real processes."""
+"""Steps of guarantees.feature, run against real processes."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 
 scenarios('guarantees.feature')
 
-NAMES = '|'.join(map(re.escape, fault.FAULTS))
-# More than a replica keeps in its log behind a snapshot.
-MISSED_CHANGES = 1500
-REACH_S = 7
-DISK_BYTES = 200_000
+FAULT_NAMES = '|'.join(map(re.escape, fault.FAULTS))
+# More entries than a replica keeps in its log behind a snapshot.
+MISSED_ENTRIES = 1500
+PROPAGATION_LIMIT_S = 7
+FILE_LIMIT_BYTES = 200_000
 
 
 @pytest.fixture
-def start_cluster(tmp_path):
-    """Start scenes whose processes all end with the test."""
+def cluster_factory(tmp_path):
+    """Return a function that starts clusters; they end with the test."""
     started = []
 
     def start(**plan):
@@ -44,11 +44,11 @@
 @given(
     parsers.re(
         r'a cell with (?P<entries>\d+) entries and '
-        r'(?P<targets>\d+) targets(?P<more>.*)'
+        r'(?P<targets>\d+) targets(?P<extra>.*)'
     ),
     target_fixture='cluster',
 )
-def create_cell(start_cluster, entries, targets, more):
+def create_cell(cluster_factory, entries, targets, extra):
     plan = {
         '': {},
         ' and 1 spare': {
@@ -58,68 +58,73 @@
         ' and snapshots every 100 entries': {
             'replica_options': ('--snapshot-entries', '100'),
         },
-        ' that answer late or twice': {
+        ' that respond late or twice': {
             'behaviours': {0: 'late', 1: 'duplicate', 2: 'late'},
         },
-        ' of which one fails everything': {'behaviours': {2: 'fail'}},
-    }[more]
-    # Small racks, so that there are targets in each data centre.
-    return start_cluster(
+        ' of which one fails every task': {'behaviours': {2: 'fail'}},
+    }[extra]
+    # Small racks give each data centre at least one target.
+    return cluster_factory(
         entries=int(entries), targets=int(targets), rack_size=2, **plan
     )
 
 
 @given(
     parsers.re(
-        r'(?P<manner>|cancelling |balanced )callers and operators at work '
-        r'with seed (?P<seed>\d+)'
+        r'(?P<behaviour>|cancelling |load-balanced )callers and operators '
+        r'active with seed (?P<seed>\d+)'
     )
 )
-def start_load(cluster, manner, seed):
+def start_workload(cluster, behaviour, seed):
     mix = {
         '': workload.Mix(),
         'cancelling ': workload.Mix(cancel_share=0.5),
-        'balanced ': workload.Mix(is_balanced=True, operators=0),
-    }[manner]
+        'load-balanced ': workload.Mix(is_balanced=True, operators=0),
+    }[behaviour]
     cluster.start_work(mix, int(seed))
 
 
-@when(parsers.re(f'(?P<name>{NAMES})'))
+@when(parsers.re(f'(?P<name>{FAULT_NAMES})'))
 def inject(cluster, name):
     fault.inject(cluster, name)
 
 
-@when(parsers.re(f'(?P<first>{NAMES}) and (?P<second>{NAMES}) at once'))
+@when(
+    parsers.re(
+        f'(?P<first>{FAULT_NAMES}) and (?P<second>{FAULT_NAMES}) at once'
+    )
+)
 def inject_both(cluster, first, second):
     fault.inject(cluster, first, second)
 
 
-@when(parsers.re(f'(?P<name>{NAMES}) twice'))
+@when(parsers.re(f'(?P<name>{FAULT_NAMES}) twice'))
 def inject_twice(cluster, name):
     fault.inject_twice(cluster, name)
 
 
 @when('a follower misses hundreds of changes and the leader is killed')
-def miss_changes(cluster):
+def miss_entries_and_kill_leader(cluster):
     name = cluster.follower()
     cluster.process(name).kill()
-    wait_for_changes(cluster, MISSED_CHANGES)
+    wait_for_entries(cluster, MISSED_ENTRIES)
     cluster.process(name).start()
     harness.wait_until(
-        lambda: lag_of(cluster, name) < 100, 'the replica did not catch up'
+        lambda: get_lag(cluster, name) < 100, 'the replica did not catch up'
     )
     log_lines = cluster.process(name).log.read_text()
     assert 'snapshot installed' in log_lines
     fault.inject(cluster, 'the leader is killed')
 
 
-def wait_for_changes(cluster, count):
-    """Wait for a number of log entries, however slowly the disks sync.
+def wait_for_entries(cluster, count):
+    """Wait until the log has grown by a number of entries.
 
-    An entry holds what came during one sync, so that their rate is the
-    disks'; a log that stands still is a failure.
+    One entry holds all commands that arrive during one disk sync, so the
+    rate of entries depends on the disks and there is no overall deadline;
+    a log that does not grow at all fails the test.
     """
-    index = commit_index(cluster)
+    index = get_commit_index(cluster)
     goal = index + count
     while index < goal:
         index = wait_for_growth(cluster, index)
@@ -127,16 +132,16 @@
 
 def wait_for_growth(cluster, index):
     harness.wait_until(
-        lambda: commit_index(cluster) > index, 'the log stands still'
+        lambda: get_commit_index(cluster) > index, 'the log does not grow'
     )
-    return commit_index(cluster)
+    return get_commit_index(cluster)
 
 
-def commit_index(cluster):
+def get_commit_index(cluster):
     return harness.members(cluster)['commit_index']
 
 
-def lag_of(cluster, name):
+def get_lag(cluster, name):
     members = harness.members(cluster)
     replica = next(
         one for one in members['replicas'] if one['identity'] == name
@@ -144,24 +149,24 @@
     return members['commit_index'] - replica['match_index']
 
 
-@when('a follower loses its disk and comes back')
-def lose_disk(cluster):
+@when('a follower restarts with an empty disk')
+def restart_with_empty_disk(cluster):
     name = cluster.follower()
     cluster.process(name).kill()
     harness.clear_folder(cluster.running_cell.plan.folder / name)
     cluster.process(name).start()
 
 
-@when('the replaced voter is repaired and another follower is killed')
-def repair_and_kill(cluster):
+@when('a spare has become a voter and another follower is killed')
+def wait_for_voter_and_kill(cluster):
     harness.wait_until(
-        lambda: has_new_voter(cluster), 'no spare became a voter'
+        lambda: is_voter_replaced(cluster), 'no spare became a voter'
     )
     cluster.process(cluster.follower()).kill()
     harness.settle()
 
 
-def has_new_voter(cluster):
+def is_voter_replaced(cluster):
     members = harness.members(cluster)
     voters = [
         replica for replica in members.get('replicas', ()) if replica['voter']
@@ -171,8 +176,8 @@
     )
 
 
-@when('every process in turn is stopped and started again')
-def stop_in_turn(cluster):
+@when('all processes are restarted one after another')
+def restart_one_by_one(cluster):
     for name, process in cluster.running_cell.processes.items():
         assert process.stop(seconds=40) == 0, f'{name} did not stop'
         process.start()
@@ -181,29 +186,29 @@
 
 
 @when(parsers.parse('{seconds:d} seconds pass'))
-def let_pass(seconds):
+def wait_seconds(seconds):
     time.sleep(seconds)
 
 
-@then('no promise was broken')
-def check_promises(cluster):
+@then('no guarantee is violated')
+def check_guarantees(cluster):
     assert not harness.find_violations(cluster)
 
 
-@then('no request was cut off')
+@then('no request was interrupted')
 def check_interruptions(cluster):
     assert not history.check_interruptions(cluster.recorded.submissions)
 
 
 @then('the failing target is in quarantine')
 def check_quarantine(cluster):
-    shown = cluster.running_cell.get('/v1/targets')['targets']
-    failing = next(one for one in shown if one['target'] == 'target-2')
+    listed = cluster.running_cell.get('/v1/targets')['targets']
+    failing = next(one for one in listed if one['target'] == 'target-2')
     assert failing['quarantined_until']
 
 
 @when('an entry is isolated and a patch is accepted', target_fixture='version')
-def patch_around_isolated(cluster):
+def isolate_entry_and_patch(cluster):
     cluster.network.isolate('entry-2')
     body = {
         'request_id': 'p1',
@@ -212,14 +217,14 @@
     }
     address = cluster.running_cell.entry_addresses[0]
     url = f'http://{address}/v1/configuration'
-    answered = httpx.patch(url, json=body, timeout=15).json()
-    assert answered['outcome'] == 'patch_accepted'
-    return answered['version']
+    response = httpx.patch(url, json=body, timeout=15).json()
+    assert response['outcome'] == 'patch_accepted'
+    return response['version']
 
 
-@then('within 7 seconds each entry has the version or takes no work')
-def check_reach(cluster, version):
-    time.sleep(REACH_S)
+@then('within 7 seconds each entry has the version or accepts no work')
+def check_propagation(cluster, version):
+    time.sleep(PROPAGATION_LIMIT_S)
     reach = cluster.running_cell.get('/v1/configuration')['reach']
     assert reach['entry-0'] == version
     assert reach['entry-1'] == version
@@ -230,12 +235,12 @@
         'tasks': [{'millicores': 100, 'memory_bytes': 1}],
     }
     address = cluster.running_cell.entry_addresses[2]
-    answered = httpx.post(f'http://{address}/v1/jobs', json=body, timeout=15)
-    assert answered.json()['reason'] == 'not_ready'
+    response = httpx.post(f'http://{address}/v1/jobs', json=body, timeout=15)
+    assert response.json()['reason'] == 'not_ready'
 
 
 @given('a replica with a small disk', target_fixture='folder')
-def found_replica(tmp_path):
+def create_replica(tmp_path):
     member = message.Member(message.ReplicaId('a'), 'a:1', 'dc', voter=True)
     storage.found(tmp_path, message.Membership((member,)), 'a')
     return tmp_path
@@ -245,8 +250,8 @@
 def fill_disk(folder):
     opened = storage.Disk(folder, storage.load(folder, 'a'))
     soft, hard = resource.getrlimit(resource.RLIMIT_FSIZE)
-    before = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
-    resource.setrlimit(resource.RLIMIT_FSIZE, (DISK_BYTES, hard))
+    previous_handler = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
+    resource.setrlimit(resource.RLIMIT_FSIZE, (FILE_LIMIT_BYTES, hard))
     acknowledged = 0
     try:
         while True:
@@ -259,11 +264,11 @@
         return acknowledged
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, (soft, hard))
-        signal.signal(signal.SIGXFSZ, before)
+        signal.signal(signal.SIGXFSZ, previous_handler)
 
 
-@then('every acknowledged entry is read back')
-def read_back(folder: pathlib.Path, written):
+@then('every acknowledged entry can be read back')
+def check_entries(folder: pathlib.Path, written):
     loaded = storage.load(folder, 'a').log
     assert isinstance(loaded, log.Log)
     assert written > 100
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""A running cell with a network that can be cut and a load that watches."""
+"""A cell of real processes with a faulty network and a recorded workload."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 WARM_UP_S = 3
 RECOVERY_S = 40
 _POLL_S = 0.3
-_LEAST_SUBMISSIONS = 20
-_EXPLAINED = 3
-_UNENDED = frozenset(('queued', 'running'))
+_MIN_SUBMISSIONS = 20
+_MAX_EXPLANATIONS = 3
+_UNFINISHED_STATES = frozenset(('queued', 'running'))
 
 
 @dataclasses.dataclass
 class Cluster:
-    """A cell, the relays between its processes, and its callers."""
+    """A cell, the relays in front of its processes, and its workload."""
 
     running_cell: cell.Cell
     network: relay.Network
@@ -37,7 +37,7 @@
         return self.running_cell.processes[name]
 
     def follower(self) -> str:
-        """Return the name of a replica that does not lead."""
+        """Return the name of a replica that is not the leader."""
         leader = self.running_cell.leader()
         return next(name for name in self.replicas() if name != leader)
 
@@ -50,54 +50,54 @@
         ]
 
     def start_work(self, mix: workload.Mix, seed: int) -> None:
-        """Let callers and operators begin, and work for a while."""
+        """Start callers and operators and wait WARM_UP_S seconds."""
         self.load = workload.Workload(self.running_cell, mix, seed)
         self.load.start()
         time.sleep(WARM_UP_S)
 
     def close(self) -> None:
-        """End all processes and the relays."""
+        """Stop all processes and the relays."""
         self.running_cell.stop()
         self.network.stop()
 
 
 def create_cluster(plan: cell.Plan) -> Cluster:
-    """Return a scene with a relay before each process, not started."""
+    """Return an unstarted cluster with relays to replicas and entries."""
     running = cell.Cell(plan)
-    network = relay.Network(lambda: _pids_of(running))
+    network = relay.Network(lambda: _get_pids(running))
     cluster = Cluster(running, network)
     count = len(running.replica_addresses) + len(running.entry_addresses)
     ports = iter(cell.free_ports(count))
     running.dialled_replicas = list(
-        _put_relays(network, 'replica', running.replica_addresses, ports)
+        _add_relays(network, 'replica', running.replica_addresses, ports)
     )
     running.dialled_entries = list(
-        _put_relays(network, 'entry', running.entry_addresses, ports)
+        _add_relays(network, 'entry', running.entry_addresses, ports)
     )
     return cluster
 
 
 def settle() -> None:
-    """Wait until leases have run out and elections are over."""
+    """Wait until leases have expired and elections are over."""
     time.sleep(SETTLE_S)
 
 
-def wait_until(is_done: Callable[[], bool], complaint: str) -> None:
-    """Poll a condition; raises AssertionError when it does not come."""
+def wait_until(is_done: Callable[[], bool], message: str) -> None:
+    """Poll a condition; raises AssertionError after RECOVERY_S seconds."""
     deadline = time.monotonic() + RECOVERY_S
     while not is_done():
-        assert time.monotonic() < deadline, complaint
+        assert time.monotonic() < deadline, message
         time.sleep(_POLL_S)
 
 
 def find_violations(cluster: Cluster) -> list[str]:
-    """End the work and return every promise that its history breaks."""
+    """Stop the workload and return the guarantees its history violates."""
     assert cluster.load is not None
     cluster.recorded = cluster.load.stop()
-    runs = audit.read(cluster.running_cell.history, _killed_at(cluster))
+    runs = audit.read(cluster.running_cell.history, _get_kill_times(cluster))
     submissions = cluster.recorded.submissions
-    if len(submissions) <= _LEAST_SUBMISSIONS:
-        cluster.load.errors.append('too little was submitted to tell anything')
+    if len(submissions) <= _MIN_SUBMISSIONS:
+        cluster.load.errors.append('too few submissions for a meaningful check')
     violations = [
         *cluster.load.errors,
         *audit.check_overlaps(runs),
@@ -117,30 +117,36 @@
 def _gather_evidence(
     cluster: Cluster, submissions: list[history.Submission]
 ) -> Iterator[str]:
-    """Yield what the cell says of itself while it still runs.
+    """Yield the cell's view of members, targets and unfinished jobs.
 
-    A failure that shows once can be traced only by that.
+    It is read while the cell still runs, since a failure that is not
+    reproducible can be traced only by it.
     """
-    unended = [one.job for one in submissions if one.outcome in _UNENDED]
+    unfinished = [
+        one.job for one in submissions if one.outcome in _UNFINISHED_STATES
+    ]
     paths = [
         '/v1/members',
         '/v1/targets',
-        *(f'/v1/jobs/{name}/explanation' for name in unended[:_EXPLAINED]),
+        *(
+            f'/v1/jobs/{name}/explanation'
+            for name in unfinished[:_MAX_EXPLANATIONS]
+        ),
     ]
     for path in paths:
         try:
-            shown = json.dumps(cluster.running_cell.get(path))
+            state = json.dumps(cluster.running_cell.get(path))
         except (httpx.HTTPError, ValueError) as error:
-            shown = f'not to be had: {error}'
-        yield f'evidence {path}: {shown}'
+            state = f'not available: {error}'
+        yield f'evidence {path}: {state}'
 
 
 def members(cluster: Cluster) -> dict[str, Any]:
-    """Return what the first entry says about the replicas."""
+    """Return the state of the replicas as reported by the first entry."""
     return cluster.running_cell.get('/v1/members')
 
 
-def _killed_at(cluster: Cluster) -> dict[str, int]:
+def _get_kill_times(cluster: Cluster) -> dict[str, int]:
     return {
         name: process.killed_at
         for name, process in cluster.running_cell.processes.items()
@@ -148,7 +154,7 @@
     }
 
 
-def _put_relays(
+def _add_relays(
     network: relay.Network,
     role: str,
     addresses: list[str],
@@ -158,7 +164,7 @@
         yield network.add_relay(f'{role}-{number}', address, next(ports))
 
 
-def _pids_of(running: cell.Cell) -> dict[str, int]:
+def _get_pids(running: cell.Cell) -> dict[str, int]:
     return {
         name: process.running.pid
         for name, process in running.processes.items()
@@ -167,6 +173,6 @@
 
 
 def clear_folder(folder: pathlib.Path) -> None:
-    """Delete the files of a data folder."""
+    """Delete all files in a data folder."""
     for path in folder.iterdir():
         path.unlink()
--- a/tests/history.py
+++ b/tests/history.py
@@ -1,4 +1,4 @@
-"""Histories of callers and operators, and the checks over them."""
+"""Recorded histories of callers and operators, and checks on them."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Submission:
-    """What one caller was told in the end of one request.
+    """The final outcome of one request as its caller saw it.
 
-    is_interrupted tells that a connection broke while the request was open.
+    is_interrupted is set if a connection broke while the request was pending.
     """
 
     request_id: str
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Patch:
-    """A patch of an operator; times are monotonic seconds."""
+    """A configuration patch of an operator; times are monotonic seconds."""
 
     request_id: str
     base_version: int
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigurationRead:
-    """A version of the configuration that an operator read."""
+    """A configuration version an operator read; times in monotonic s."""
 
     version: int
     began_at: float
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass
 class History:
-    """Everything that was recorded from outside."""
+    """Everything that the clients of a cell recorded."""
 
     submissions: list[Submission] = dataclasses.field(default_factory=list)
     patches: list[Patch] = dataclasses.field(default_factory=list)
@@ -76,7 +76,7 @@
 def check_refusals(
     submissions: Iterable[Submission], runs: Iterable[audit.Run]
 ) -> list[str]:
-    """Return the requests that ran although they were said not to."""
+    """Return the requests that ran although they were reported as not run."""
     ran = {run.label for run in runs}
     return [
         f'{one.request_id} ran after it was refused'
@@ -86,21 +86,21 @@
 
 
 def check_answers(submissions: Iterable[Submission]) -> list[str]:
-    """Return the callers whose answer was not whole or not their own."""
+    """Return the requests whose answer was malformed or of another request."""
     return [
         f'{one.request_id} got {answer!r}'
         for one in submissions
         if one.outcome == 'completed'
-        for answer in _answers(one)
-        if _label(answer) != one.request_id
+        for answer in _get_answers(one)
+        if _get_label(answer) != one.request_id
     ]
 
 
 def check_outcomes(submissions: Iterable[Submission]) -> list[str]:
-    """Return the accepted jobs that came to no expected end.
+    """Return the requests that ended with an unexpected outcome.
 
-    A cancelled job may have completed before; only a request that must not
-    run twice may end as unknown, or as failed after its one run.
+    A cancelled job may have completed first; only a non-idempotent request
+    may end as unknown, or as failed after its only run.
     """
     return [
         f'{one.request_id} ended as {one.outcome}'
@@ -110,77 +110,81 @@
 
 
 def check_interruptions(submissions: Iterable[Submission]) -> list[str]:
-    """Return the requests that a planned stop has cut off."""
+    """Return the requests that were interrupted by a planned stop."""
     return [
-        f'{one.request_id} was cut off'
+        f'{one.request_id} was interrupted'
         for one in submissions
         if one.is_interrupted
     ]
 
 
 def check_versions(history: History) -> list[str]:
-    """Return where the configuration was not linearizable."""
+    """Return the violations of linearizability of the configuration."""
     accepted = sorted(
         (one for one in history.patches if one.outcome == 'patch_accepted'),
         key=lambda patch: patch.version,
     )
-    faults = [
-        f'{one.request_id} did not amend the version that it named'
+    violations = [
+        f'{one.request_id} does not follow the version it is based on'
         for one in accepted
         if one.version != one.base_version + 1
     ]
-    faults.extend(
-        f'{left.request_id} and {right.request_id} gave one version'
+    violations.extend(
+        f'{left.request_id} and {right.request_id} produced the same version'
         for left, right in itertools.pairwise(accepted)
         if left.version == right.version and left.request_id != right.request_id
     )
-    faults.extend(
-        f'{later.request_id} gave a version older than one accepted before'
+    violations.extend(
+        f'{later.request_id} produced a version older than one accepted earlier'
         for earlier, later in itertools.permutations(accepted, 2)
         if earlier.ended_at < later.began_at and earlier.version > later.version
     )
-    faults.extend(_check_reads(accepted, history.reads))
-    return faults
+    violations.extend(_check_reads(accepted, history.reads))
+    return violations
 
 
 def check_departures(path: pathlib.Path) -> list[str]:
-    """Return the starts on a target more than 3 s after its notice.
+    """Return the starts on a target later than 3 s after its departure notice.
 
-    A target that has joined again since is not leaving any more.
+    A target that has joined again since then is no longer leaving.
     """
-    faults: list[str] = []
-    left: dict[str, int] = {}
+    violations: list[str] = []
+    leaving: dict[str, int] = {}
     for line in map(json.loads, path.read_text().splitlines()):
         target = line['target']
         if line['what'] == 'leave':
-            left[target] = line['at']
+            leaving[target] = line['at']
         elif line['what'] == 'join':
-            left.pop(target, None)
-        elif _is_late_start(line, left.get(target, audit.NEVER)):
+            leaving.pop(target, None)
+        elif _is_late_start(line, leaving.get(target, audit.NEVER)):
             attempt = line['attempt']
-            faults.append(f'{attempt} started on {target}, leaving')
-    return faults
+            violations.append(
+                f'{attempt} started on {target} after its departure notice'
+            )
+    return violations
 
 
-def _is_late_start(line: dict[str, Any], left_at: int) -> bool:
-    return line['what'] == 'start' and line['at'] > left_at + DEPARTURE_GRACE_MS
+def _is_late_start(line: dict[str, Any], notice_at: int) -> bool:
+    return (
+        line['what'] == 'start' and line['at'] > notice_at + DEPARTURE_GRACE_MS
+    )
 
 
 def _check_reads(
     accepted: list[Patch], reads: list[ConfigurationRead]
 ) -> list[str]:
-    faults = [
+    violations = [
         f'version {read.version} was read after {patch.version}'
         for patch in accepted
         for read in reads
         if patch.ended_at < read.began_at and read.version < patch.version
     ]
-    faults.extend(
+    violations.extend(
         f'version {later.version} was read after {earlier.version}'
         for earlier, later in itertools.permutations(reads, 2)
         if earlier.ended_at < later.began_at and earlier.version > later.version
     )
-    return faults
+    return violations
 
 
 def _expected_outcomes(submission: Submission) -> set[str]:
@@ -192,11 +196,11 @@
     return expected
 
 
-def _answers(submission: Submission) -> list[str]:
+def _get_answers(submission: Submission) -> list[str]:
     return [task['answer'] for task in submission.body['tasks']]
 
 
-def _label(answer: str) -> str:
+def _get_label(answer: str) -> str:
     try:
         return str(json.loads(answer)['label'])
     except (ValueError, KeyError):
--- a/tests/kills.py
+++ b/tests/kills.py
@@ -1,7 +1,7 @@
-"""Measures how soon urgent work starts through kills; run by make kills.
+"""Measures the start delay of urgent tasks after kills; run by make kills.
 
-For each kill: the longest time from the kill, or from the submission when
-that came later, to the start of the attempt that ended the task.
+The result for a kill is the longest time from the kill, or from the submission
+if that is later, to the start of the attempt that completed the task.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 
 class UrgentCallers:
-    """Callers that submit urgent requests without a pause."""
+    """Callers that submit urgent requests one after another."""
 
     def __init__(self, running: cell.Cell) -> None:
         """Start the callers."""
         self.started: list[tuple[float, float]] = []
         self.lost = 0
         self._cell = running
-        self._is_over = threading.Event()
+        self._is_stopping = threading.Event()
         self._threads = [
             threading.Thread(
                 target=self._run_caller, args=(number,), daemon=True
@@ -53,19 +53,21 @@
 
     def stop(self) -> None:
         """Wait for the requests in progress."""
-        self._is_over.set()
+        self._is_stopping.set()
         for thread in self._threads:
             thread.join()
 
     def _run_caller(self, caller: int) -> None:
         number = 0
         with httpx.Client(timeout=_DEADLINE_S) as client:
-            while not self._is_over.is_set():
+            while not self._is_stopping.is_set():
                 number += 1
                 self._submit(client, f'u{caller}-{number}', number)
                 time.sleep(_SUBMIT_INTERVAL_S)
 
-    def _submit(self, client: httpx.Client, request_id: str, turn: int) -> None:
+    def _submit(
+        self, client: httpx.Client, request_id: str, sequence: int
+    ) -> None:
         payload = json.dumps({'run_ms': _RUN_MS, 'label': request_id})
         body = {
             'request_id': request_id,
@@ -81,7 +83,7 @@
             ],
         }
         submitted_at = time.time() * _MS_PER_S
-        job = self._submit_until_completed(client, body, turn)
+        job = self._submit_until_completed(client, body, sequence)
         if job is None:
             self.lost += 1
             return
@@ -89,48 +91,48 @@
         self.started.append((submitted_at, attempt['started_at']))
 
     def _submit_until_completed(
-        self, client: httpx.Client, body: dict[str, Any], turn: int
+        self, client: httpx.Client, body: dict[str, Any], sequence: int
     ) -> dict[str, Any] | None:
         deadline = time.monotonic() + _DEADLINE_S
         entries = self._cell.entry_addresses
         while time.monotonic() < deadline:
-            turn += 1
-            base = f'http://{entries[turn % len(entries)]}/v1/jobs'
+            sequence += 1
+            base = f'http://{entries[sequence % len(entries)]}/v1/jobs'
             try:
-                told = client.post(f'{base}?wait=10', json=body).json()
-                job = told.get('job', '')
-                explained = client.get(f'{base}/{job}/explanation').json()
+                response = client.post(f'{base}?wait=10', json=body).json()
+                job = response.get('job', '')
+                explanation = client.get(f'{base}/{job}/explanation').json()
             except (httpx.TransportError, ValueError):
-                explained = {}
-            if explained.get('state') == 'completed':
-                return dict(explained)
+                explanation = {}
+            if explanation.get('state') == 'completed':
+                return dict(explanation)
             time.sleep(_RETRY_S)
         return None
 
 
 def main() -> int:
-    """Kill leaders, entries and targets; return zero within the bound."""
+    """Kill leaders, entries and targets; return 0 within the limit."""
     table = Table('killed', 'kills', 'p50 ms', 'p90 ms', 'max ms', 'lost')
     worst = 0
     lost = 0
     for kind in ('leader', 'entry', 'target'):
-        longest, missing = measure(kind)
-        worst = max(worst, longest[-1])
-        lost += missing
+        delays, lost_requests = measure(kind)
+        worst = max(worst, delays[-1])
+        lost += lost_requests
         table.add_row(
             kind,
-            str(len(longest)),
-            str(longest[len(longest) // 2]),
-            str(longest[len(longest) * 9 // 10]),
-            str(longest[-1]),
-            str(missing),
+            str(len(delays)),
+            str(delays[len(delays) // 2]),
+            str(delays[len(delays) * 9 // 10]),
+            str(delays[-1]),
+            str(lost_requests),
         )
     Console().print(table)
     return int(worst > MAX_START_DELAY_MS or lost > 0)
 
 
 def measure(kind: str) -> tuple[list[int], int]:
-    """Return the longest start after each kill, sorted, and the lost."""
+    """Return the sorted delays in ms and the number of lost requests."""
     shutil.rmtree(_FOLDER, ignore_errors=True)
     plan = cell.Plan(_FOLDER.absolute(), entries=3, targets=8)
     running = cell.Cell(plan)
@@ -138,20 +140,21 @@
         stack.callback(running.stop)
         running.start()
         urgent = UrgentCallers(running)
-        longest = sorted(
-            _kill_once(running, urgent, kind, turn) for turn in range(KILLS)
+        delays = sorted(
+            _kill_once(running, urgent, kind, sequence)
+            for sequence in range(KILLS)
         )
         urgent.stop()
-    return longest, urgent.lost
+    return delays, urgent.lost
 
 
 def _kill_once(
-    running: cell.Cell, urgent: UrgentCallers, kind: str, turn: int
+    running: cell.Cell, urgent: UrgentCallers, kind: str, sequence: int
 ) -> int:
     names = {
         'leader': running.leader(),
-        'entry': f'entry-{turn % 3}',
-        'target': f'target-{turn % 8}',
+        'entry': f'entry-{sequence % 3}',
+        'target': f'target-{sequence % 8}',
     }
     process = running.processes[names[kind]]
     time.sleep(1)
@@ -160,13 +163,13 @@
     time.sleep(_OBSERVATION_S)
     process.start()
     time.sleep(2)
-    waits = [
+    start_delays = [
         started_at - max(submitted_at, killed_at)
         for submitted_at, started_at in list(urgent.started)
         if started_at > killed_at
         and submitted_at < killed_at + _OBSERVATION_S * _MS_PER_S
     ]
-    return round(max(waits, default=0))
+    return round(max(start_delays, default=0))
 
 
 if __name__ == '__main__':
--- a/tests/pairs.py
+++ b/tests/pairs.py
@@ -1,4 +1,4 @@
-"""Runs every pair of faults at once and every fault twice; by make pairs."""
+"""Runs each pair of faults together and each fault twice; see make pairs."""
 
 from __future__ import annotations
 
@@ -21,25 +21,31 @@
 
 
 def main(
-    lane: Annotated[int, typer.Option(help='Which part is run.')] = 0,
-    lanes: Annotated[int, typer.Option(help='Into how many parts.')] = 1,
-    seed: Annotated[int, typer.Option(help='One case only, by seed.')] = 0,
+    lane: Annotated[
+        int, typer.Option(help='Number of the part to run, from 0.')
+    ] = 0,
+    lanes: Annotated[
+        int, typer.Option(help='Number of parts to split the cases into.')
+    ] = 1,
+    seed: Annotated[
+        int, typer.Option(help='Run only the case with this seed.')
+    ] = 0,
 ) -> None:
-    """Run cases and print a line for each; exit 1 when any failed."""
-    chosen = [
+    """Run cases and print a line for each; exits with 1 if any failed."""
+    selected = [
         (number, names)
-        for number, names in enumerate(_cases(), start=_FIRST_SEED)
+        for number, names in enumerate(_list_cases(), start=_FIRST_SEED)
         if number == (seed or number) and number % lanes == lane
     ]
-    outcomes = [_run_case(number, names) for number, names in chosen]
-    held = sum(outcomes)
-    sys.stdout.write(f'{held} of {len(outcomes)} cases held\n')
-    if held < len(outcomes):
+    outcomes = [_run_case(number, names) for number, names in selected]
+    passed = sum(outcomes)
+    sys.stdout.write(f'{passed} of {len(outcomes)} cases passed\n')
+    if passed < len(outcomes):
         raise typer.Exit(1)
 
 
-def _cases() -> Iterator[tuple[str, str]]:
-    """Yield pairs of faults; a pair of equal ones strikes twice."""
+def _list_cases() -> Iterator[tuple[str, str]]:
+    """Yield all pairs of faults; an equal pair is one fault injected twice."""
     yield from itertools.combinations_with_replacement(fault.FAULTS, 2)
 
 
@@ -48,9 +54,9 @@
     violations = _check_case(folder, seed, names)
     sys.stdout.write(f'{seed} | {names[0]} | {names[1]} | ')
     if violations:
-        sys.stdout.write(f'broken, see {folder}: {violations[:3]}\n')
+        sys.stdout.write(f'failed, see {folder}: {violations[:3]}\n')
     else:
-        sys.stdout.write('held\n')
+        sys.stdout.write('passed\n')
         shutil.rmtree(folder)
     sys.stdout.flush()
     return not violations
--- a/tests/platform_fakes.py
+++ b/tests/platform_fakes.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's workers and adviser, for tests.
+"""Fakes of the platform's workers and adviser, for tests.
 
-It answers the calls of an entry as the platform's pages tell, loses or holds
-up what a test asks it to, and keeps what really ran.
+They answer the calls of an entry as the platform specifies, drop or delay
+calls and responses as a test requests, and record which tasks really ran.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 _MS_PER_S = 1000
 _POLL_S = 0.005
 _HEARTBEAT_S = 0.5
-_DELAY_S = 2
+_START_DELAY_S = 2
 
 
 @dataclasses.dataclass
 class Run:
-    """One run of a task, with its times by the monotonic clock."""
+    """One run of a task; times are monotonic seconds."""
 
     task: str
     number: int
@@ -34,16 +34,20 @@
     outcome: str = ''
 
     def end(self, at: float, outcome: str) -> None:
-        """Note when and how the run has ended."""
+        """Record the time and the outcome of the end of the run."""
         self.ended_at = at
         self.outcome = outcome
 
 
 class FakeWorker:
-    """One worker: what runs on it, what has ended, and its lease."""
+    """A worker with its active and ended runs and its lease.
+
+    The counters answers_to_drop, starts_to_delay, starts_to_ignore and
+    stops_to_ignore say how many of the next calls are treated that way.
+    """
 
     def __init__(self, name: str, host: str, run_s: float) -> None:
-        """Listen on a port of its own; every task takes run_s seconds."""
+        """Listen on a free port; every task runs for run_s seconds."""
         self.name = name
         self.run_s = run_s
         self.born = time.time_ns() // 1_000_000
@@ -53,19 +57,19 @@
         self.starts_to_delay = 0
         self.starts_to_ignore = 0
         self.stops_to_ignore = 0
-        # Called once a start was carried out, whose answer is lost then.
+        # Called after each successful start, whose response is then dropped.
         self.after_start: Callable[[], None] | None = None
         self.polled_at: list[float] = []
         self.rejected: list[tuple[str, str]] = []
         self._lock = threading.RLock()
         self._fencing_token = 0
         self._lease_end_ms = float(0)
-        self._acknowledged = 0
-        self._server = _serve(host, self._handle_call)
+        self._acknowledged_cursor = 0
+        self._server = _start_server(host, self._handle_call)
         self.address = f'{host}:{self._server.server_port}'
 
     def send_heartbeat(self, replica_address: str, state: str = 'ready') -> int:
-        """Announce this worker; returns the status."""
+        """Send a heartbeat to a replica; returns the HTTP status."""
         heartbeat = {
             'service': 'pool',
             'address': self.address,
@@ -81,7 +85,7 @@
             return client.post(url, json=heartbeat).status_code
 
     def active_runs(self) -> list[Run]:
-        """Return what runs now."""
+        """Return the runs that have not ended."""
         with self._lock:
             self._end_due_runs()
             return [run for run in self.runs if run.ended_at is None]
@@ -94,7 +98,7 @@
         return time.monotonic_ns() // 1_000_000
 
     def _end_due_runs(self) -> None:
-        """End what is done, and everything once the lease has run out."""
+        """End the runs whose time is over or whose lease has expired."""
         now = time.monotonic()
         for run in self.runs:
             if run.ended_at is not None:
@@ -112,15 +116,17 @@
                 return self._reject(path, 'fence')
             self._fencing_token = body['fencingToken']
             if path == '/hold':
-                return self._poll(body)
+                return self._handle_poll(body)
             if path == '/run-start':
-                return self._start(body)
-            return self._stop(body)
+                return self._handle_start(body)
+            return self._handle_stop(body)
 
-    def _poll(self, body: dict[str, Any]) -> tuple[int, Any]:
+    def _handle_poll(self, body: dict[str, Any]) -> tuple[int, Any]:
         self.polled_at.append(time.monotonic())
         self._lease_end_ms = max(self._lease_end_ms, body.get('deadlineMs', 0))
-        self._acknowledged = max(self._acknowledged, body['ackCursor'])
+        self._acknowledged_cursor = max(
+            self._acknowledged_cursor, body['ackCursor']
+        )
         return 200, self._list_runs()
 
     def _list_runs(self) -> dict[str, Any]:
@@ -137,32 +143,34 @@
             'finished': [
                 [number, run.task, run.number, run.outcome, '']
                 for number, run in numbered
-                if number > self._acknowledged
+                if number > self._acknowledged_cursor
             ],
         }
 
-    def _start(self, body: dict[str, Any]) -> tuple[int, Any]:
+    def _handle_start(self, body: dict[str, Any]) -> tuple[int, Any]:
         if self.starts_to_ignore:
             self.starts_to_ignore -= 1
             return 0, {}
         if self.starts_to_delay:
             self.starts_to_delay -= 1
-            late = threading.Timer(_DELAY_S, self._start_delayed, (body,))
-            late.start()
+            timer = threading.Timer(
+                _START_DELAY_S, self._start_delayed, (body,)
+            )
+            timer.start()
             return 0, {}
-        response = self._start_now(body)
+        response = self._execute_start(body)
         if self.after_start is None:
             return response
         self.after_start()
         return 0, {}
 
     def _start_delayed(self, body: dict[str, Any]) -> None:
-        """Carry out an order that was held up, without an answer."""
+        """Execute a delayed start; its response is lost."""
         with self._lock:
             self._end_due_runs()
-            self._start_now(body)
+            self._execute_start(body)
 
-    def _start_now(self, body: dict[str, Any]) -> tuple[int, Any]:
+    def _execute_start(self, body: dict[str, Any]) -> tuple[int, Any]:
         task, number = body['task'], body['runId']
         active = {(run.task, run.number) for run in self.active_runs()}
         if (task, number) in active:
@@ -178,7 +186,7 @@
         self.runs.append(Run(task, number, time.monotonic()))
         return self._accept()
 
-    def _stop(self, body: dict[str, Any]) -> tuple[int, Any]:
+    def _handle_stop(self, body: dict[str, Any]) -> tuple[int, Any]:
         if self.stops_to_ignore:
             self.stops_to_ignore -= 1
             return 0, {}
@@ -201,12 +209,12 @@
 
 
 class FakeAdviser:
-    """Allows every worker that it is asked about."""
+    """An adviser that allows every worker it is asked about."""
 
     def __init__(self, host: str) -> None:
-        """Listen on a port of its own."""
-        self.asked: list[str] = []
-        self._server = _serve(host, self._handle_call)
+        """Listen on a free port."""
+        self.steps: list[str] = []
+        self._server = _start_server(host, self._handle_call)
         self.address = f'{host}:{self._server.server_port}'
 
     def close(self) -> None:
@@ -214,18 +222,18 @@
         self._server.shutdown()
 
     def _handle_call(self, path: str, body: dict[str, Any]) -> tuple[int, Any]:
-        self.asked.append(body['step'])
+        self.steps.append(body['step'])
         rows = [[name, f'ticket of {name}'] for name in body['workers']]
         return 200, {'allowed': rows}
 
 
 class HeartbeatSender:
-    """Lets workers announce themselves until it is closed."""
+    """Sends heartbeats for workers until it is closed."""
 
     def __init__(
         self, workers: list[FakeWorker], replica_addresses: list[str]
     ) -> None:
-        """Start at once, in a thread."""
+        """Start sending in a thread."""
         self._workers = workers
         self._replica_addresses = replica_addresses
         self._is_closed = threading.Event()
@@ -233,7 +241,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Announce nothing more."""
+        """Stop sending heartbeats."""
         self._is_closed.set()
         self._thread.join()
 
@@ -251,19 +259,19 @@
 
 
 class _Server(http_server.ThreadingHTTPServer):
-    """Has the function that answers its calls."""
+    """An HTTP server with the function that handles its calls."""
 
     handle_call: Callable[[str, dict[str, Any]], tuple[int, Any]]
 
 
 class _RequestHandler(http_server.BaseHTTPRequestHandler):
-    """Answers one call after the other of a connection."""
+    """Handles the calls of one connection in sequence."""
 
     protocol_version = 'HTTP/1.1'
     server: _Server
 
     def do_POST(self) -> None:
-        """Answer one call, or close the connection without an answer."""
+        """Answer one call, or close the connection if the status is 0."""
         length = int(self.headers['content-length'])
         body = json.loads(self.rfile.read(length))
         status, response = self.server.handle_call(self.path, body)
@@ -271,29 +279,31 @@
         if not status:
             self.close_connection = True
             return
-        is_encoded = isinstance(response, bytes)
-        encoded = response if is_encoded else json.dumps(response).encode()
+        is_bytes = isinstance(response, bytes)
+        encoded = response if is_bytes else json.dumps(response).encode()
         self.send_response(status)
         self.send_header('content-length', str(len(encoded)))
         self.end_headers()
-        # An entry that has given up on the call has closed the connection.
+        # After a timeout the entry has already closed the connection.
         with contextlib.suppress(BrokenPipeError, ConnectionResetError):
             self.wfile.write(encoded)
 
     def log_message(self, *_: object) -> None:
-        """Write nothing."""
+        """Log nothing."""
 
     def _wait_for_end(
         self, body: dict[str, Any], response: dict[str, Any]
     ) -> None:
-        """Hold a look back until there is an end, as long as it may wait."""
+        """Delay the response to a poll until a run ends, at most waitMs ms."""
         deadline = time.monotonic() + body.get('waitMs', 0) / _MS_PER_S
         while time.monotonic() < deadline and not response.get('finished'):
             time.sleep(_POLL_S)
             response.update(self.server.handle_call(self.path, body)[1])
 
 
-def _serve(host: str, handle_call: Any) -> http_server.ThreadingHTTPServer:
+def _start_server(
+    host: str, handle_call: Any
+) -> http_server.ThreadingHTTPServer:
     server = _Server((host, 0), _RequestHandler)
     server.handle_call = handle_call
     server.daemon_threads = True
--- a/tests/platform_malformed.py
+++ b/tests/platform_malformed.py
@@ -1,4 +1,4 @@
-"""Odd messages of other writers, and a stand-in of a target that sends them."""
+"""Malformed messages, and a fake worker that lists malformed runs."""
 
 from __future__ import annotations
 
@@ -16,49 +16,49 @@
 
 HUGE_FLOAT = 1e300
 HUGE_INTEGER = 10**40
-_DEPTH = 100_000
-_NESTED = '[' * _DEPTH + ']' * _DEPTH
-_UNAVAILABLE = 503
+_NESTING_DEPTH = 100_000
+_NESTED_LIST = '[' * _NESTING_DEPTH + ']' * _NESTING_DEPTH
+_SERVICE_UNAVAILABLE = 503
 _RETRY_LIMIT_S = 5
-_PORT_BEYOND = 99_999_999
-_PREFACE = b'PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n'
+_INVALID_PORT = 99_999_999
+_HTTP2_PREFACE = b'PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n'
 _INVALID_REQUESTS = (
     bytes(100),
     b'GET /\xff HTTP/1.1\r\nhost: \xff\r\n\r\n',
     b'POST / HTTP/1.1\r\ncontent-length: 99999999999999999999\r\n\r\nx',
-    b''.join((_PREFACE, b'\xff' * 100)),
+    b''.join((_HTTP2_PREFACE, b'\xff' * 100)),
 )
 
 
 class MalformedWorker(platform_fakes.FakeWorker):
-    """Announces itself as others do, and lists what cannot be read."""
+    """A worker with valid heartbeats and malformed lists of its runs."""
 
     def __init__(self, name: str, host: str) -> None:
-        """Listen on a port of its own."""
+        """Listen on a free port."""
         super().__init__(name, host, run_s=1)
         self.polls = 0
 
-    def _poll(self, body: dict[str, Any]) -> tuple[int, Any]:
+    def _handle_poll(self, body: dict[str, Any]) -> tuple[int, Any]:
         body.pop('waitMs', None)
-        return super()._poll(body)
+        return super()._handle_poll(body)
 
     def _list_runs(self) -> dict[str, Any]:
         self.polls += 1
-        odd = _malformed_listings(super()._list_runs())
-        return next(itertools.islice(odd, self.polls % 9, None))
+        listings = _malformed_listings(super()._list_runs())
+        return next(itertools.islice(listings, self.polls % 9, None))
 
 
 def add_nested_field(document: dict[str, Any]) -> bytes:
-    """Return a document with a field that nobody knows, nested deeply."""
-    return f'{json.dumps(document)[:-1]}, "other": {_NESTED}}}'.encode()
+    """Return a document with an unknown and deeply nested field."""
+    return f'{json.dumps(document)[:-1]}, "other": {_NESTED_LIST}}}'.encode()
 
 
 def heartbeats(address: str, born: int) -> Iterator[tuple[str, bytes]]:
-    """Yield the ids and bodies of heartbeats that name no worker to use.
+    """Yield the ids and bodies of heartbeats that must not add a worker.
 
-    The neighbour that is at the address is not to be harmed by them.
+    The valid worker at the given address must not be affected by them.
     """
-    beat = {
+    heartbeat = {
         'service': 'pool',
         'address': '127.0.0.1:1',
         'zone': 'dc-1',
@@ -78,25 +78,28 @@
         {'born': 0},
         {'born': -1},
         {'state': 'draining', 'remainingMs': HUGE_FLOAT},
-        {'address': f'127.0.0.1:{_PORT_BEYOND}'},
+        {'address': f'127.0.0.1:{_INVALID_PORT}'},
         {'address': f'{address}@:x'},
         {'address': ''},
         {'labels': [['a']]},
         {'zone': 7},
     )
-    yield 'odd', add_nested_field(beat)
+    yield 'malformed', add_nested_field(heartbeat)
     for number, change in enumerate(changes):
-        yield f'odd-{number}', json.dumps({**beat, **change}).encode()
+        yield (
+            f'malformed-{number}',
+            json.dumps({**heartbeat, **change}).encode(),
+        )
     for name in ('%C3%A9', 'a%0Ab', '%00', '%20'):
-        yield name, json.dumps(beat).encode()
-    yield 'odd', b'\xff\xfe{'
+        yield name, json.dumps(heartbeat).encode()
+    yield 'malformed', b'\xff\xfe{'
 
 
-def configurations(present: dict[str, Any]) -> Iterator[bytes]:
-    """Yield configurations that are not to be accepted."""
-    version = present['version'] + 1
-    newer = {**present, 'version': version}
-    route = present['routes'][0]
+def configurations(current: dict[str, Any]) -> Iterator[bytes]:
+    """Yield configurations that must be rejected."""
+    version = current['version'] + 1
+    newer = {**current, 'version': version}
+    route = current['routes'][0]
     advice = {'decisionMs': -5, 'perWorkerMs': 1, 'validMs': 1}
     changes: tuple[dict[str, Any], ...] = (
         {'timeoutMs': HUGE_FLOAT},
@@ -106,13 +109,13 @@
         {'advice': advice},
     )
     yield add_nested_field(newer)
-    yield json.dumps({**present, 'version': HUGE_INTEGER}).encode()
+    yield json.dumps({**current, 'version': HUGE_INTEGER}).encode()
     for change in changes:
         yield json.dumps({**newer, 'routes': [{**route, **change}]}).encode()
 
 
 def jobs() -> Iterator[bytes]:
-    """Yield jobs that are not to be accepted."""
+    """Yield jobs that must be rejected."""
     phase = {'count': 1, 'cpu': 500, 'memMb': 10, 'estimateMs': 100}
     changes: tuple[dict[str, Any], ...] = (
         {'cpu': HUGE_FLOAT},
@@ -131,7 +134,7 @@
 
 
 def patches() -> Iterator[bytes]:
-    """Yield patches of the product's own document that cannot be taken."""
+    """Yield patches of the internal configuration that must be rejected."""
     patch = {'request_id': 'r1', 'version': 1, 'changes': {'headroom': 1}}
     yield add_nested_field(patch)
     yield json.dumps({**patch, 'version': HUGE_INTEGER}).encode()
@@ -139,14 +142,14 @@
 
 
 def send(method: str, url: str, body: bytes, **headers: str) -> int:
-    """Return the status of the answer that is no 503, or nothing without one.
+    """Return the HTTP status after retries on 503, or 0 without one.
 
-    Workers, operators and callers come again after a 503, which tells that
-    nobody leads for a moment.
+    A 503 means that there is no leader for a moment, so the request is sent
+    again for up to _RETRY_LIMIT_S seconds, as real clients do.
     """
     deadline = time.monotonic() + _RETRY_LIMIT_S
-    status = _UNAVAILABLE
-    while status == _UNAVAILABLE and time.monotonic() < deadline:
+    status = _SERVICE_UNAVAILABLE
+    while status == _SERVICE_UNAVAILABLE and time.monotonic() < deadline:
         status = _send_once(method, url, body, headers)
     return status
 
@@ -167,14 +170,16 @@
 
 
 def send_invalid_bytes(address: str) -> None:
-    """Send what is no request of any protocol to an address."""
+    """Send bytes that are not a valid request of any protocol."""
     host, _, port = address.rpartition(':')
-    for noise in _INVALID_REQUESTS:
+    for invalid in _INVALID_REQUESTS:
         with (
             contextlib.suppress(OSError),
-            socket.create_connection((host, int(port)), timeout=1) as opened,
+            socket.create_connection(
+                (host, int(port)), timeout=1
+            ) as connection,
         ):
-            opened.sendall(noise)
+            connection.sendall(invalid)
 
 
 def _malformed_listings(listing: dict[str, Any]) -> Iterator[Any]:
--- a/tests/platform_test.py
+++ b/tests/platform_test.py
@@ -1,4 +1,4 @@
-"""The whole path on the platform, over real processes and a stand-in."""
+"""End-to-end tests on the platform: real processes, fake workers."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 READY_S = 40
 DONE_S = 30
 HOST = 'queue.example'
-# Of a called target, by the settings that are left out here.
-LEASE_S = 5.5
+# Lease of a polled target under the default settings.
+TARGET_LEASE_S = 5.5
 _subnets = itertools.count(os.getpid() % 200)
 
 
@@ -31,13 +31,13 @@
     """Replicas, entries, workers and an adviser on loopback addresses."""
 
     def __init__(self, folder: pathlib.Path, run_s: float) -> None:
-        """Start everything and put a configuration in force."""
+        """Start all processes and apply a configuration."""
         subnet = next(_subnets) % 250
         self.hosts = [f'127.9.{subnet}.{one}' for one in range(1, 6)]
         ports = cell.free_ports(4)
-        self.control_port = ports[0]
-        self.front_port = ports[1]
-        self.internal = [ports[2], ports[2] + 2]
+        self.replica_port = ports[0]
+        self.entry_port = ports[1]
+        self.internal_ports = [ports[2], ports[2] + 2]
         self.folder = folder
         self.adviser = platform_fakes.FakeAdviser(self.hosts[0])
         self.workers = [
@@ -45,40 +45,40 @@
             for number in range(2)
         ]
         self.replica_addresses = [
-            f'{host}:{self.control_port}' for host in self.hosts[:REPLICAS]
+            f'{host}:{self.replica_port}' for host in self.hosts[:REPLICAS]
         ]
         self.entry_addresses = [
-            f'{host}:{self.front_port}' for host in self.hosts[REPLICAS:]
+            f'{host}:{self.entry_port}' for host in self.hosts[REPLICAS:]
         ]
         self.processes = [self._start(number) for number in range(5)]
-        self.beats = platform_fakes.HeartbeatSender(
+        self.heartbeats = platform_fakes.HeartbeatSender(
             self.workers, self.replica_addresses
         )
         self.configure(1)
         self.wait(self._is_ready, 'the cluster was not ready')
 
     def close(self) -> None:
-        """End everything."""
-        self.beats.close()
+        """Stop all processes and fakes."""
+        self.heartbeats.close()
         for process in self.processes:
             process.kill()
-        for stand_in in (*self.workers, self.adviser):
-            stand_in.close()
+        for fake in (*self.workers, self.adviser):
+            fake.close()
 
-    def wait(self, is_done, complaint, seconds=READY_S):
-        """Poll a condition; fails when it does not come."""
+    def wait(self, condition, message, seconds=READY_S):
+        """Poll a condition; raises AssertionError after some seconds."""
         deadline = time.monotonic() + seconds
-        while not is_done():
-            assert time.monotonic() < deadline, complaint
+        while not condition():
+            assert time.monotonic() < deadline, message
             time.sleep(0.05)
 
-    def sleep(self, seconds):
-        """Let time pass."""
+    def wait_seconds(self, seconds):
+        """Wait for a number of seconds."""
         deadline = time.monotonic() + seconds
         self.wait(lambda: time.monotonic() >= deadline, '', seconds + 1)
 
     def add_worker(self):
-        """Let one more worker announce itself."""
+        """Add a worker that sends heartbeats like the others."""
         number = len(self.workers)
         self.workers.append(
             platform_fakes.FakeWorker(
@@ -87,13 +87,13 @@
         )
 
     def configure(self, version, prefix='/jobs/'):
-        """Put a configuration with one queue in force."""
+        """Apply a configuration with one queue."""
         document = self.document(version, prefix)
         self.wait(
             lambda: (
                 self._send_to_leader('POST', '/config/replace', document) == 200
             ),
-            'no configuration was accepted',
+            'the configuration was not accepted',
         )
 
     def document(self, version, prefix='/jobs/'):
@@ -118,7 +118,7 @@
         }
 
     def call(self, method, path, entry=0, body=None):
-        """Call an entry; returns the answer, or None without one."""
+        """Call an entry; returns the response, or None without one."""
         headers = {'Host': HOST, 'Mulberrywalk-Deadline-Ms': '3000'}
         url = f'http://{self.entry_addresses[entry]}{path}'
         try:
@@ -129,30 +129,30 @@
             return None
 
     def submit(self, name, entry=0, count=2, **step):
-        """Hand a job of one step in until it is accepted."""
+        """Submit a job of one step repeatedly until it is accepted."""
         phase = {'count': count, 'cpu': 500, 'memMb': 10, 'estimateMs': 100}
         body = {'spec': 's', 'phases': [{**phase, **step}]}
         path = f'/jobs/{name}'
 
         def is_accepted():
-            answered = self.call('POST', path, entry, body)
-            return answered is not None and answered.status_code == 200
+            response = self.call('POST', path, entry, body)
+            return response is not None and response.status_code == 200
 
         self.wait(is_accepted, f'{name} was not accepted')
 
     def state(self, name, entry=0):
-        """Return the state of a job, or nothing."""
-        answered = self.call('GET', f'/jobs/{name}', entry)
-        if answered is None or answered.status_code != 200:
+        """Return the state of a job, empty if it is not available."""
+        response = self.call('GET', f'/jobs/{name}', entry)
+        if response is None or response.status_code != 200:
             return ''
-        return answered.json()['state']
+        return response.json()['state']
 
     def runs(self):
-        """Return all that ran on any worker."""
+        """Return the runs of all workers."""
         return [run for worker in self.workers for run in worker.runs]
 
     def lines(self, *texts):
-        """Return the log lines of all processes that have all the texts."""
+        """Return the log lines of all processes that contain all texts."""
         logs = (
             process.log.read_text(errors='replace')
             for process in self.processes
@@ -164,54 +164,57 @@
             if all(text in line for text in texts)
         ]
 
-    def wait_to_find(self, text, count):
-        """Return the lines with a text once there are so many."""
-        self.wait(lambda: len(self.lines(text)) >= count, f'no {text}')
+    def wait_for_lines(self, text, count):
+        """Wait for a number of log lines with a text and return them."""
+        self.wait(
+            lambda: len(self.lines(text)) >= count,
+            f'too few log lines with: {text}',
+        )
         return self.lines(text)
 
     def kill_leader(self):
-        """Kill the replica that answers for the cell; returns its number."""
+        """Kill the leader; returns its process number."""
         number = self.find_leader()
         self.processes[number].signal(signal.SIGKILL)
         return number
 
     def find_leader(self):
-        """Return the number of the replica that answers, once one does."""
+        """Wait for a leader and return its process number."""
         found = []
 
         def is_found():
             found.extend(self._find_leaders())
             return found
 
-        self.wait(is_found, 'no replica leads')
+        self.wait(is_found, 'there is no leader')
         return found[-1]
 
     def start_again(self, number):
-        """Start a process that was killed."""
+        """Restart a process that was killed."""
         self.processes[number].running.wait()
         self.processes[number].start()
 
     def _find_leaders(self):
-        """Return the numbers of the replicas that answer for the cell."""
+        """Return the numbers of the replicas that answer as leader."""
         return [
             number
-            for number, control in enumerate(self.replica_addresses)
-            if _is_answered(f'http://{control}/config/read')
+            for number, replica_address in enumerate(self.replica_addresses)
+            if _answers_ok(f'http://{replica_address}/config/read')
         ]
 
     def _send_to_leader(self, method, path, body):
-        for control in self.replica_addresses:
+        for replica_address in self.replica_addresses:
             try:
-                answered = httpx.request(
+                response = httpx.request(
                     method,
-                    f'http://{control}{path}',
+                    f'http://{replica_address}{path}',
                     json=body,
                     timeout=2,
                     follow_redirects=True,
                 )
             except httpx.HTTPError:
                 continue
-            if answered.status_code == 200:
+            if response.status_code == 200:
                 return 200
         return 503
 
@@ -232,10 +235,10 @@
             'nodeName': f'node-{number}',
             'ip': host,
             'zone': 'dc-1',
-            'bindAddrs': {'control': f'{host}:{self.control_port}'}
+            'bindAddrs': {'control': f'{host}:{self.replica_port}'}
             if is_replica
-            else {'front': f'{host}:{self.front_port}'},
-            'internalPorts': self.internal,
+            else {'front': f'{host}:{self.entry_port}'},
+            'internalPorts': self.internal_ports,
             'seeds': self.replica_addresses,
             'bootstrap': True,
             'dataDir': str(folder) if is_replica else None,
@@ -254,19 +257,19 @@
         return process
 
 
-def _is_answered(url):
+def _answers_ok(url):
     with contextlib.suppress(httpx.HTTPError):
         return httpx.get(url, timeout=2).status_code == 200
     return False
 
 
 class PlatformProcess(cell.Process):
-    """A process that is told where its settings are."""
+    """A process that reads its settings from a file."""
 
     settings: pathlib.Path
 
     def start(self) -> None:
-        """Start the process with the variable of the platform."""
+        """Start the process with MULBERRYWALK_CONFIG set."""
         os.environ['MULBERRYWALK_CONFIG'] = str(self.settings)
         super().start()
 
@@ -291,7 +294,11 @@
     name = '0123456789abcdef'
     cluster.submit(name)
     cluster.submit(name, entry=1)
-    cluster.wait(lambda: cluster.state(name) == 'completed', 'not done', DONE_S)
+    cluster.wait(
+        lambda: cluster.state(name) == 'completed',
+        'the job did not complete',
+        DONE_S,
+    )
     assert cluster.state(name, entry=1) == 'completed'
     assert sorted((run.task, run.number) for run in cluster.runs()) == [
         (f'{name}.0.0.0', 1),
@@ -302,12 +309,12 @@
 def test_failover_does_not_restart_running_tasks(slow_cluster):
     name = 'fedcba9876543210'
     slow_cluster.submit(name, count=4)
-    slow_cluster.wait(lambda: len(slow_cluster.runs()) == 4, 'nothing started')
+    slow_cluster.wait(lambda: len(slow_cluster.runs()) == 4, 'no task started')
     killed = slow_cluster.kill_leader()
     slow_cluster.submit(name, entry=1, count=4)
     slow_cluster.wait(
         lambda: slow_cluster.state(name, entry=1) == 'completed',
-        'not done under another leader',
+        'the job did not complete after failover',
         DONE_S,
     )
     assert len(slow_cluster.runs()) == 4
@@ -319,18 +326,22 @@
     for worker in cluster.workers:
         worker.answers_to_drop = 1
     cluster.submit(name, count=4)
-    cluster.wait(lambda: cluster.state(name) == 'completed', 'not done', DONE_S)
+    cluster.wait(
+        lambda: cluster.state(name) == 'completed',
+        'the job did not complete',
+        DONE_S,
+    )
     assert len(cluster.runs()) == 4
 
 
 def test_start_delayed_past_its_stop_is_rejected(cluster):
     name = '00000000000000dd'
-    for held in cluster.workers:
-        held.starts_to_delay = 100
+    for delayed in cluster.workers:
+        delayed.starts_to_delay = 100
     cluster.submit(name, count=1)
     cluster.wait(
         lambda: any(worker.starts_to_delay < 100 for worker in cluster.workers),
-        'nothing was ordered',
+        'no start command arrived',
     )
     assert cluster.call('DELETE', f'/jobs/{name}').status_code == 200
     cluster.wait(
@@ -339,20 +350,22 @@
             for one in cluster.workers
             for _, reason in one.rejected
         ),
-        'no late order has arrived',
+        'no delayed start command arrived',
     )
     assert not cluster.runs()
     assert cluster.state(name) == 'cancelled'
 
 
 def test_target_added_later_receives_tasks(slow_cluster):
-    # Beyond the lease that the leader granted to all when it began.
-    slow_cluster.sleep(LEASE_S + 1)
+    # Wait past the lease that a new leader grants to all targets.
+    slow_cluster.wait_seconds(TARGET_LEASE_S + 1)
     slow_cluster.add_worker()
     name = '00000000000000ee'
     slow_cluster.submit(name, count=len(slow_cluster.workers), antiAffinity=1)
     slow_cluster.wait(
-        lambda: slow_cluster.state(name) == 'completed', 'not done', DONE_S
+        lambda: slow_cluster.state(name) == 'completed',
+        'the job did not complete',
+        DONE_S,
     )
     assert [len(worker.runs) for worker in slow_cluster.workers] == [1, 1, 1]
 
@@ -360,13 +373,13 @@
 def test_cancelled_job_is_stopped(slow_cluster):
     name = '00000000000000bb'
     slow_cluster.submit(name)
-    slow_cluster.wait(lambda: len(slow_cluster.runs()) == 2, 'nothing started')
+    slow_cluster.wait(lambda: len(slow_cluster.runs()) == 2, 'no task started')
     assert slow_cluster.call('DELETE', f'/jobs/{name}').status_code == 200
     slow_cluster.wait(
         lambda: (
             not any(worker.active_runs() for worker in slow_cluster.workers)
         ),
-        'it still runs',
+        'a task still runs',
         5,
     )
     assert slow_cluster.state(name) == 'cancelled'
@@ -393,8 +406,12 @@
 def test_every_process_exposes_metrics(cluster):
     name = '00000000000000cc'
     cluster.submit(name)
-    # A job may be accepted before any target is known.
-    cluster.wait(lambda: cluster.state(name) == 'completed', 'not done', DONE_S)
+    # A job may be accepted before the cell knows any target.
+    cluster.wait(
+        lambda: cluster.state(name) == 'completed',
+        'the job did not complete',
+        DONE_S,
+    )
     shown = [
         httpx.get(f'http://{host}:9464/metrics', timeout=2).text
         for host in cluster.hosts
@@ -404,7 +421,7 @@
 
 
 def test_new_leader_keeps_target_assignments(slow_cluster):
-    assigned = slow_cluster.wait_to_find(
+    assigned = slow_cluster.wait_for_lines(
         'targets assigned', len(slow_cluster.workers)
     )
     slow_cluster.kill_leader()
@@ -412,7 +429,7 @@
     slow_cluster.submit(name, entry=1)
     slow_cluster.wait(
         lambda: slow_cluster.state(name, entry=1) == 'completed',
-        'not done under another leader',
+        'the job did not complete after failover',
         DONE_S,
     )
     assert slow_cluster.lines('targets assigned') == assigned
@@ -420,16 +437,18 @@
 
 def test_missing_long_running_task_is_reported(slow_cluster):
     name = '00000000000000ee'
-    for unreached in slow_cluster.workers:
-        unreached.starts_to_ignore = 1000
+    for unresponsive in slow_cluster.workers:
+        unresponsive.starts_to_ignore = 1000
     slow_cluster.submit(name, count=1, longRunning=True)
 
     texts = ('lasting work absent start unconfirmed', name, 'room=2')
     slow_cluster.wait(
-        lambda: slow_cluster.lines(*texts), 'no line tells of it', DONE_S
+        lambda: slow_cluster.lines(*texts),
+        'no log line reports the task',
+        DONE_S,
     )
 
-    def shown():
+    def read_metrics():
         texts = (
             httpx.get(f'http://{host}:9464/metrics', timeout=2).text
             for host in slow_cluster.hosts
@@ -437,91 +456,109 @@
         return ''.join(texts).splitlines()
 
     slow_cluster.wait(
-        lambda: 'lasting_absent_with_room 1' in shown(), 'no metric tells'
+        lambda: 'lasting_absent_with_room 1' in read_metrics(),
+        'no metric reports the task',
     )
 
 
 def test_malformed_messages_crash_no_process(cluster):
     processes = [one.running for one in cluster.processes]
-    odd = platform_malformed.MalformedWorker('odd-listings', cluster.hosts[0])
-    beats = platform_fakes.HeartbeatSender([odd], cluster.replica_addresses)
+    malformed = platform_malformed.MalformedWorker(
+        'malformed-lists', cluster.hosts[0]
+    )
+    heartbeats = platform_fakes.HeartbeatSender(
+        [malformed], cluster.replica_addresses
+    )
     refused = [
-        *_send_to_controls(cluster),
+        *_send_to_replica(cluster),
         *_send_to_entries(cluster),
     ]
     _send_invalid_bytes(cluster)
     _corrupt_settings(cluster)
-    cluster.wait(lambda: odd.polls >= 18, 'the odd target was not looked at')
+    cluster.wait(
+        lambda: malformed.polls >= 18, 'the malformed target was not polled'
+    )
     name = '00000000000000ee'
     cluster.submit(name, count=8)
-    cluster.wait(lambda: cluster.state(name) == 'completed', 'not done', DONE_S)
-    beats.close()
-    odd.close()
+    cluster.wait(
+        lambda: cluster.state(name) == 'completed',
+        'the job did not complete',
+        DONE_S,
+    )
+    heartbeats.close()
+    malformed.close()
     ended = [one.args for one in processes if one.poll() is not None]
     assert not ended
     others = [one for one in refused if one[1] // 100 != 4]
     assert not others
 
 
-def _send_to_controls(cluster):
-    """Send what only workers and operators send; the leader answers."""
+def _send_to_replica(cluster):
+    """Send malformed worker and operator messages; the leader answers."""
     worker = cluster.workers[0]
-    control = cluster.replica_addresses[0]
+    replica_address = cluster.replica_addresses[0]
     sent = platform_malformed.heartbeats(worker.address, worker.born + 1)
-    for name, beat in sent:
-        url = f'http://{control}/instances/{name}/heartbeat'
-        yield f'heartbeat of {name}', platform_malformed.send('POST', url, beat)
-    url = f'http://{control}/config/replace'
-    odd = platform_malformed.configurations(cluster.document(1))
-    for number, body in enumerate(odd):
+    for name, heartbeat in sent:
+        url = f'http://{replica_address}/instances/{name}/heartbeat'
+        yield (
+            f'heartbeat of {name}',
+            platform_malformed.send('POST', url, heartbeat),
+        )
+    url = f'http://{replica_address}/config/replace'
+    malformed = platform_malformed.configurations(cluster.document(1))
+    for number, body in enumerate(malformed):
         status = platform_malformed.send('POST', url, body)
         yield f'configuration {number}', status
 
 
 def _send_to_entries(cluster):
-    """Send what callers send, to the platform's and the own interface."""
+    """Send malformed jobs and patches to the interfaces of an entry."""
     for number, body in enumerate(platform_malformed.jobs()):
         url = f'http://{cluster.entry_addresses[0]}/jobs/{number:016x}'
         status = platform_malformed.send('POST', url, body, Host=HOST)
         yield f'job {number}', status
     host = cluster.hosts[REPLICAS]
-    url = f'http://{host}:{cluster.internal[0] + 1}/v1/configuration'
+    url = f'http://{host}:{cluster.internal_ports[0] + 1}/v1/configuration'
     for number, body in enumerate(platform_malformed.patches()):
         yield f'patch {number}', platform_malformed.send('PATCH', url, body)
 
 
 def _send_invalid_bytes(cluster):
-    """Send bytes that are no request to all that listens."""
-    own = [
+    """Send invalid bytes to every listening port."""
+    internal_addresses = [
         f'{host}:{port}'
         for host in cluster.hosts
-        for port in (cluster.internal[0], cluster.internal[0] + 1)
+        for port in (cluster.internal_ports[0], cluster.internal_ports[0] + 1)
     ]
-    for address in (*cluster.replica_addresses, *cluster.entry_addresses, *own):
+    for address in (
+        *cluster.replica_addresses,
+        *cluster.entry_addresses,
+        *internal_addresses,
+    ):
         platform_malformed.send_invalid_bytes(address)
 
 
 def _corrupt_settings(cluster):
-    """Let the settings of an entry be odd for a while, then away."""
+    """Make the settings of an entry malformed, then absent, then restore."""
     path = cluster.processes[REPLICAS].settings
-    written = path.read_bytes()
-    path.write_bytes(platform_malformed.add_nested_field(json.loads(written)))
+    original = path.read_bytes()
+    path.write_bytes(platform_malformed.add_nested_field(json.loads(original)))
     time.sleep(1.2)
     path.unlink()
     time.sleep(1.2)
-    path.write_bytes(written)
+    path.write_bytes(original)
 
 
 def test_targets_are_polled_during_leader_pauses(slow_cluster):
-    slow_cluster.sleep(2)
+    slow_cluster.wait_seconds(2)
     paused_at = time.monotonic()
     for _ in range(3):
         leader = slow_cluster.processes[slow_cluster.find_leader()]
         leader.signal(signal.SIGSTOP)
-        # Beyond its lease, but shorter than an election takes to begin.
+        # Longer than the leader's lease, shorter than the election timeout.
         time.sleep(0.55)
         leader.signal(signal.SIGCONT)
-        slow_cluster.sleep(4)
+        slow_cluster.wait_seconds(4)
     for worker in slow_cluster.workers:
         times = [one for one in worker.polled_at if one > paused_at]
         gaps = [later - one for one, later in itertools.pairwise(times)]
@@ -530,20 +567,24 @@
 
 def test_target_ignoring_commands_keeps_no_task(slow_cluster):
     name = '00000000000000ff'
-    for deaf in slow_cluster.workers:
-        deaf.starts_to_ignore = 1000
-        deaf.stops_to_ignore = 1000
+    for unresponsive in slow_cluster.workers:
+        unresponsive.starts_to_ignore = 1000
+        unresponsive.stops_to_ignore = 1000
     slow_cluster.submit(name, count=1, longRunning=True)
 
-    def others():
+    def find_unresponsive():
         return [
             one for one in slow_cluster.workers if one.starts_to_ignore == 1000
         ]
 
-    slow_cluster.wait(lambda: len(others()) == 1, 'nothing was ordered')
-    other = others()[0]
+    slow_cluster.wait(
+        lambda: len(find_unresponsive()) == 1, 'no start command arrived'
+    )
+    other = find_unresponsive()[0]
     other.starts_to_ignore = 0
-    slow_cluster.wait(other.active_runs, 'the task is not run elsewhere', 20)
+    slow_cluster.wait(
+        other.active_runs, 'the task was not started on the other target', 20
+    )
 
 
 def test_new_leader_stops_no_running_task(tmp_path):
@@ -560,10 +601,10 @@
         worker.after_start = kill_replicas
     with contextlib.closing(cluster):
         cluster.submit('00000000000000ab', count=1, longRunning=True)
-        cluster.wait(cluster.runs, 'nothing started')
-        # So long that the start is overdue before an entry can be linked.
+        cluster.wait(cluster.runs, 'no task started')
+        # The start becomes overdue before any entry can connect.
         time.sleep(2.2)
         for number in range(REPLICAS):
             cluster.start_again(number)
-        cluster.sleep(6)
+        cluster.wait_seconds(6)
         assert [run.outcome for run in cluster.runs()] == ['']
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay in front of each process, to cut and to silence connections."""
+"""TCP relays in front of processes, to partition and blackhole connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 CHUNK_BYTES = 65_536
-_HEXADECIMAL = 16
+_HEX_BASE = 16
 _INODE_COLUMN = 9
 _LOCAL_ADDRESS_COLUMN = 1
 
@@ -18,10 +18,11 @@
 
 @dataclasses.dataclass(eq=False)
 class Connection:
-    """One relayed connection; swallowed bytes go nowhere, for ever.
+    """One relayed connection; a blackholed one discards all further bytes.
 
-    source is found out only while connections are to be told apart, because
-    that reads the tables of all sockets; None while it is not known.
+    source is the name of the connecting process, empty for a process outside
+    the cell and None while unresolved. It is resolved only when a fault needs
+    it, because that reads the socket tables of the whole system.
     """
 
     port: int
@@ -31,10 +32,10 @@
 
 
 class Network:
-    """Relays for all processes of a cell, run by a thread of its own."""
+    """Relays for the processes of a cell, run in a separate thread."""
 
     def __init__(self, pids: PidSource) -> None:
-        """Start the thread; pids names the processes that may connect."""
+        """Start the thread; pids returns the pid of each process by name."""
         self._pids = pids
         self._partitions: list[set[str]] = []
         self._inbound_blocked: set[str] = set()
@@ -46,13 +47,13 @@
         self._thread.start()
 
     def add_relay(self, destination: str, address: str, port: int) -> str:
-        """Listen on a port for a process and return the new address."""
+        """Relay a port to the address of a process; returns the new address."""
         listening = self._listen(destination, address, port)
         asyncio.run_coroutine_threadsafe(listening, self._loop).result()
         return f'127.0.0.1:{port}'
 
     def isolate(self, *names: str) -> None:
-        """Let no byte through between these processes and the others."""
+        """Block all traffic between these processes and all others."""
         self._resolve_sources()
         self._partitions.append(set(names))
         asyncio.run_coroutine_threadsafe(
@@ -60,11 +61,11 @@
         )
 
     def block_inbound(self, name: str) -> None:
-        """Let no connection to a process work; its own ones do."""
+        """Block connections to a process; those it opens still work."""
         self._inbound_blocked.add(name)
 
     def heal(self) -> None:
-        """Let new connections through; bytes lost before stay lost."""
+        """Unblock new connections; those blocked until now stay blackholed."""
         for connection in list(self._connections):
             if self._is_blocked(connection):
                 connection.is_blackholed = True
@@ -72,14 +73,14 @@
         self._inbound_blocked.clear()
 
     def blackhole(self, name: str) -> None:
-        """Swallow all bytes of the connections that now touch a process."""
+        """Discard all further bytes of the open connections of a process."""
         self._resolve_sources()
         for connection in list(self._connections):
             if name in {connection.source, connection.destination}:
                 connection.is_blackholed = True
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join()
 
@@ -106,15 +107,15 @@
         while self._is_blocked(connection) or self._is_unresolved(connection):
             await asyncio.sleep(0.05)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            remote_reader, remote_writer = await asyncio.open_connection(
                 host, int(port)
             )
         except OSError:
             writer.close()
             return
         await asyncio.gather(
-            self._copy(connection, reader, far_writer),
-            self._copy(connection, far_reader, writer),
+            self._copy(connection, reader, remote_writer),
+            self._copy(connection, remote_reader, writer),
         )
 
     async def _copy(
@@ -151,22 +152,22 @@
         return is_partitioned or connection.destination in self._inbound_blocked
 
     def _resolve_sources(self) -> None:
-        """Find the processes at the near ends of all connections."""
+        """Find the processes that opened the unresolved connections."""
         unresolved = [
             one for one in list(self._connections) if one.source is None
         ]
         owners = {
             inode: name
             for name, pid in list(self._pids().items())
-            for inode in _sockets_of(pid)
+            for inode in _list_sockets(pid)
         }
-        inodes = _inodes_by_port()
+        inodes = _read_inodes_by_port()
         for connection in unresolved:
             inode = inodes.get(connection.port, '')
             connection.source = owners.get(inode, '')
 
 
-def _inodes_by_port() -> dict[int, str]:
+def _read_inodes_by_port() -> dict[int, str]:
     tables = [pathlib.Path('/proc/net/tcp'), pathlib.Path('/proc/net/tcp6')]
     rows = [
         line.split()
@@ -174,7 +175,7 @@
         for line in table.read_text().splitlines()[1:]
     ]
     return {
-        _port_of(
+        _parse_port(
             columns[_LOCAL_ADDRESS_COLUMN]
         ): f'socket:[{columns[_INODE_COLUMN]}]'
         for columns in rows
@@ -182,19 +183,19 @@
     }
 
 
-def _port_of(address: str) -> int:
-    return int(address.rpartition(':')[2], _HEXADECIMAL)
+def _parse_port(address: str) -> int:
+    return int(address.rpartition(':')[2], _HEX_BASE)
 
 
-def _sockets_of(pid: int) -> set[str]:
+def _list_sockets(pid: int) -> set[str]:
     try:
         links = list(pathlib.Path(f'/proc/{pid}/fd').iterdir())
     except OSError:
         return set()
-    return {_target_of(link) for link in links}
+    return {_read_link(link) for link in links}
 
 
-def _target_of(link: pathlib.Path) -> str:
+def _read_link(link: pathlib.Path) -> str:
     try:
         return str(link.readlink())
     except OSError:
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs all tests but those of KNOWN-RED.txt, which are printed.
+"""Runs all tests except those listed in KNOWN-RED.txt, which it prints.
 
-The faults over real processes run in two groups side by side: most of their
-time is waiting for leases and elections.
+The fault tests over real processes run as two concurrent groups, because they
+spend most of their time waiting for leases and elections.
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 
 
 def main() -> int:
-    """Run the groups and return zero when all of them passed."""
-    passed_over = [
+    """Run all groups and return 0 if every one of them passed."""
+    known_failures = [
         line.split('|')[0].strip()
         for line in KNOWN_RED.read_text().splitlines()
         if line and not line.startswith('#')
     ]
     sys.stdout.writelines(
-        f'known red, passed over: {one}\n' for one in passed_over
+        f'known failure, skipped: {one}\n' for one in known_failures
     )
-    deselected = [f'--deselect={one}' for one in passed_over]
+    deselected = [f'--deselect={one}' for one in known_failures]
     first, *others = GROUPS
-    codes = [_start(first, deselected).wait()]
+    exit_codes = [_start(first, deselected).wait()]
     running = [_start(group, deselected) for group in others]
-    codes.extend(started.wait() for started in running)
-    return max(codes)
+    exit_codes.extend(started.wait() for started in running)
+    return max(exit_codes)
 
 
 def _start(
--- a/tests/workload.py
+++ b/tests/workload.py
@@ -1,4 +1,4 @@
-"""Callers and operators that work against a cell while it suffers."""
+"""Callers and operators that send requests to a cell during faults."""
 
 from __future__ import annotations
 
@@ -24,9 +24,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Mix:
-    """What the callers submit.
+    """The number of clients and the kind of requests they send.
 
-    cancel_share is the part of requests that are cancelled at once.
+    cancel_share is the fraction of requests cancelled right after acceptance.
+    If is_balanced is set, clients use only entries that report ready.
     """
 
     callers: int = 6
@@ -37,19 +38,19 @@
 
 
 class Workload:
-    """Runs callers and operators in threads and records what they see."""
+    """Runs callers and operators in threads and records their history."""
 
     def __init__(self, running: cell.Cell, mix: Mix, seed: int) -> None:
-        """Prepare; start begins."""
+        """Prepare the workload without starting it."""
         self.history = history.History()
         self.errors: list[str] = []
         self._cell = running
         self._mix = mix
         self._seed = seed
-        self._is_over = threading.Event()
-        self._ready = list(running.entry_addresses)
+        self._is_stopping = threading.Event()
+        self._ready_entries = list(running.entry_addresses)
         self._threads: list[threading.Thread] = []
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
     def start(self) -> None:
         """Start all callers and operators."""
@@ -66,12 +67,12 @@
             )
 
     def stop(self) -> history.History:
-        """Let everything in progress end and return the history."""
-        self._is_over.set()
+        """Wait for all requests in progress and return the history."""
+        self._is_stopping.set()
         for thread in self._threads:
             thread.join(_DEADLINE_S + REQUEST_TIMEOUT_S)
             if thread.is_alive():
-                self.errors.append('a caller has not come to an end')
+                self.errors.append('a caller or operator thread did not stop')
         return self.history
 
     def _spawn(self, target: Any, *arguments: Any) -> None:
@@ -81,11 +82,11 @@
 
     def _run_caller(self, rng: random.Random) -> None:
         with httpx.Client(timeout=REQUEST_TIMEOUT_S) as client:
-            while not self._is_over.is_set():
+            while not self._is_stopping.is_set():
                 self._submit(client, rng)
 
     def _submit(self, client: httpx.Client, rng: random.Random) -> None:
-        request_id = f'r{next(self._numbers)}'
+        request_id = f'r{next(self._request_numbers)}'
         is_idempotent = rng.random() < 0.7
         is_cancelled = rng.random() < self._mix.cancel_share
         kind = rng.choice(['request', 'request', 'batch', 'gang'])
@@ -98,9 +99,9 @@
             'kind': kind,
             'urgency': rng.choice(['critical', 'normal', 'low']),
             'idempotent': is_idempotent,
-            'tasks': [self._task(request_id) for _ in range(count)],
+            'tasks': [self._build_task(request_id) for _ in range(count)],
         }
-        answered, is_interrupted = self._submit_until_final(
+        response, is_interrupted = self._submit_until_final(
             client, rng, body, is_cancelled=is_cancelled
         )
         self.history.submissions.append(
@@ -108,14 +109,14 @@
                 request_id,
                 is_idempotent,
                 is_cancelled,
-                _get_outcome(answered),
-                answered.get('job', ''),
-                answered,
+                _get_outcome(response),
+                response.get('job', ''),
+                response,
                 is_interrupted,
             )
         )
 
-    def _task(self, request_id: str) -> dict[str, Any]:
+    def _build_task(self, request_id: str) -> dict[str, Any]:
         payload = {'run_ms': self._mix.run_ms, 'label': request_id}
         return {
             'millicores': 3000,
@@ -132,26 +133,28 @@
         *,
         is_cancelled: bool,
     ) -> tuple[dict[str, Any], bool]:
-        """Resend under the same id until the end is known."""
+        """Resend with the same request id until the final outcome is known."""
         deadline = time.monotonic() + _DEADLINE_S
-        answered: dict[str, Any] = {'outcome': 'unknown'}
+        response: dict[str, Any] = {'outcome': 'unknown'}
         is_interrupted = False
         while time.monotonic() < deadline:
-            address = rng.choice(self._ready or self._cell.entry_addresses)
+            address = rng.choice(
+                self._ready_entries or self._cell.entry_addresses
+            )
             try:
-                answered = self._submit_once(
+                response = self._submit_once(
                     client, address, body, is_cancelled
                 )
             except (httpx.TransportError, ValueError) as error:
-                # A connection that was refused carried no request.
+                # A refused connection has not carried any request.
                 is_interrupted |= not isinstance(error, httpx.ConnectError)
-                answered = {'outcome': 'unknown'}
-            is_known = answered['outcome'] == 'job' and answered['ended_at']
-            is_refused = answered['outcome'] == 'not_run'
+                response = {'outcome': 'unknown'}
+            is_known = response['outcome'] == 'job' and response['ended_at']
+            is_refused = response['outcome'] == 'not_run'
             if is_known or is_refused:
                 break
             time.sleep(_RETRY_S)
-        return answered, is_interrupted
+        return response, is_interrupted
 
     def _submit_once(
         self,
@@ -161,43 +164,47 @@
         is_cancelled: bool,
     ) -> dict[str, Any]:
         url = f'http://{address}/v1/jobs'
-        answered = client.post(url, json=body).json()
-        if 'job' not in answered:
-            return dict(answered)
-        job = answered['job']
+        response = client.post(url, json=body).json()
+        if 'job' not in response:
+            return dict(response)
+        job = response['job']
         if is_cancelled:
             client.delete(f'{url}/{job}')
         return dict(client.get(f'{url}/{job}?wait=10').json())
 
     def _run_operator(self, rng: random.Random) -> None:
         with httpx.Client(timeout=REQUEST_TIMEOUT_S) as client:
-            while not self._is_over.is_set():
+            while not self._is_stopping.is_set():
                 try:
-                    self._patch(client, rng)
+                    self._patch_configuration(client, rng)
                 except (httpx.TransportError, ValueError, KeyError):
-                    # Nothing was told: the record would say nothing.
+                    # Without a response there is nothing to record.
                     time.sleep(_RETRY_S)
                 time.sleep(_RETRY_S)
 
-    def _patch(self, client: httpx.Client, rng: random.Random) -> None:
-        base_version = self._read(client, rng)
-        request_id = f'p{next(self._numbers)}'
+    def _patch_configuration(
+        self, client: httpx.Client, rng: random.Random
+    ) -> None:
+        base_version = self._read_version(client, rng)
+        request_id = f'p{next(self._request_numbers)}'
         body = {
             'request_id': request_id,
             'version': base_version,
             'changes': {'teams': {request_id: {'weight': 100}}},
         }
-        # Resent at once: the second answer must be the first one.
-        answers = [self._send_patch(client, rng, body) for _ in range(2)]
-        if len({(one.outcome, one.version) for one in answers}) > 1:
-            self.errors.append(f'{request_id} got two answers: {answers}')
-        self.history.patches.extend(answers[:1])
+        # The immediate repetition must get the same response.
+        responses = [self._send_patch(client, rng, body) for _ in range(2)]
+        if len({(one.outcome, one.version) for one in responses}) > 1:
+            self.errors.append(
+                f'{request_id} got two different responses: {responses}'
+            )
+        self.history.patches.extend(responses[:1])
 
-    def _read(self, client: httpx.Client, rng: random.Random) -> int:
+    def _read_version(self, client: httpx.Client, rng: random.Random) -> int:
         began_at = time.monotonic()
-        address = rng.choice(self._ready or self._cell.entry_addresses)
-        shown = client.get(f'http://{address}/v1/configuration').json()
-        version = int(shown['version'])
+        address = rng.choice(self._ready_entries or self._cell.entry_addresses)
+        configuration = client.get(f'http://{address}/v1/configuration').json()
+        version = int(configuration['version'])
         self.history.reads.append(
             history.ConfigurationRead(version, began_at, time.monotonic())
         )
@@ -208,34 +215,36 @@
     ) -> history.Patch:
         began_at = time.monotonic()
         while True:
-            address = rng.choice(self._ready or self._cell.entry_addresses)
+            address = rng.choice(
+                self._ready_entries or self._cell.entry_addresses
+            )
             try:
-                answered = client.patch(
+                response = client.patch(
                     f'http://{address}/v1/configuration', json=body
                 ).json()
             except (httpx.TransportError, ValueError):
-                answered = {'outcome': 'unknown'}
-            if answered['outcome'] in {'patch_accepted', 'patch_refused'}:
+                response = {'outcome': 'unknown'}
+            if response['outcome'] in {'patch_accepted', 'patch_refused'}:
                 break
             if time.monotonic() > began_at + _DEADLINE_S:
-                raise ValueError('no answer to a patch')
+                raise ValueError('no response to a patch')
             time.sleep(_RETRY_S)
-        # What is refused names no version of its own: current ones move on.
-        version = answered.get('version', 0)
+        # A refusal has no version of its own; the current one may advance.
+        version = response.get('version', 0)
         return history.Patch(
             body['request_id'],
             body['version'],
-            answered['outcome'],
+            response['outcome'],
             version,
             began_at,
             time.monotonic(),
         )
 
     def _watch_readiness(self) -> None:
-        """Do as the platform's balancer does."""
+        """Track the ready entries as the platform's load balancer does."""
         with httpx.Client(timeout=1) as client:
-            while not self._is_over.is_set():
-                self._ready = [
+            while not self._is_stopping.is_set():
+                self._ready_entries = [
                     address
                     for address in self._cell.entry_addresses
                     if _is_ready(client, address)
@@ -245,13 +254,13 @@
 
 def _is_ready(client: httpx.Client, address: str) -> bool:
     try:
-        answered = client.get(f'http://{address}/v1/ready')
+        response = client.get(f'http://{address}/v1/ready')
     except httpx.TransportError:
         return False
-    return answered.status_code == httpx.codes.OK
+    return response.status_code == httpx.codes.OK
 
 
-def _get_outcome(answered: dict[str, Any]) -> str:
-    if answered['outcome'] == 'job':
-        return str(answered['state'])
-    return str(answered['outcome'])
+def _get_outcome(response: dict[str, Any]) -> str:
+    if response['outcome'] == 'job':
+        return str(response['state'])
+    return str(response['outcome'])
