--- a/mulberrywalk/replica/engine.py
+++ b/mulberrywalk/replica/engine.py
@@ -21,7 +21,7 @@
 from ..core import effect, event, outcome, snapshot, state
 from ..storage import disk as storage
 from ..telemetry import clock, journal
-from ..transport import reading
+from ..transport import decoding
 from . import proposal, state_machine
 
 TICK_INTERVAL_S = 0.03
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        loaded: storage.Loaded,
+        loaded: storage.LoadedState,
         disk: storage.Disk,
         timing: node.Timing,
         logger: journal.Journal,
@@ -75,9 +75,9 @@
             loaded.log,
             timing,
             vote=loaded.vote,
-            committed=loaded.committed,
+            saved_commit_index=loaded.commit_index,
             now=clock.monotonic_ms(),
-            boot=secrets.randbits(_BOOT_BITS) + 1,
+            boot_id=secrets.randbits(_BOOT_BITS) + 1,
         )
         count = self.node.applied_index - loaded.log.snapshot_index
         self._state_machine = state_machine.StateMachine(
@@ -118,7 +118,7 @@
         """
         try:
             encoded = state_machine.encode_event(new_event)
-        except reading.UnreadableError as error:
+        except decoding.MalformedMessageError as error:
             kind = type(new_event).__name__
             self._journal.record('event refused', f'{kind}: {error}')
             reason = outcome.RefusalReason.INVALID_EVENT
@@ -162,7 +162,7 @@
 
     def has_caught_up(self) -> bool:
         """Return whether all entries of earlier terms are applied."""
-        return self._state_machine.applied_index >= self.node.term_started_index
+        return self._state_machine.applied_index >= self.node.term_start_index
 
     def process_name(self) -> str:
         """Return the name of this process."""
@@ -292,12 +292,12 @@
         index = applied.entry.index
         self._proposals.resolve(index, applied.outcomes())
         is_leading = self.node.role is node.Role.LEADER
-        starts_term = is_leading and index == self.node.term_started_index
+        starts_term = is_leading and index == self.node.term_start_index
         if starts_term:
             self._clock.advance(self.tables.time)
         if starts_term or applied.entry.kind is message.EntryKind.MEMBERSHIP:
             self.callbacks.on_changed()
-        if is_leading and index > self.node.term_started_index:
+        if is_leading and index > self.node.term_start_index:
             for effects in applied.effects:
                 self.callbacks.on_applied(effects)
 
--- a/mulberrywalk/replica/program.py
+++ b/mulberrywalk/replica/program.py
@@ -68,9 +68,11 @@
     )
     if name not in {member.identity for member in members}:
         checker.errors.append(f'--name: {name!r} is not among the founders')
-    checker.finish()
+    checker.exit_on_errors()
     try:
-        storage.found(pathlib.Path(folder), message.Membership(members), name)
+        storage.create_identity(
+            pathlib.Path(folder), message.Membership(members), name
+        )
     except storage.StorageError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(_EXIT_STORAGE) from error
@@ -125,7 +127,7 @@
             '--snapshot-entries', snapshot_entries, 10, _MAX_ENTRIES
         ),
     )
-    checker.finish()
+    checker.exit_on_errors()
     journal.open_log(is_json=settings.log_format == 'json')
     try:
         anyio.run(serve, settings, backend='asyncio')
@@ -314,7 +316,9 @@
 async def _ask_to_join(address: str, encoded: bytes) -> wire.JoinReply:
     """Ask a replica to admit this one; without an answer, return no leader."""
     try:
-        return await channel.ask(address, channel.JOIN, encoded, wire.JoinReply)
+        return await channel.call_decoded(
+            address, channel.JOIN, encoded, wire.JoinReply
+        )
     except ConnectionError:
         return wire.JoinReply(is_admitted=False, leader='')
 
@@ -323,7 +327,7 @@
     """Return whether this replica is a member and leads or hears a leader."""
     raft_node = replica_engine.node
     is_member = raft_node.membership.find(raft_node.identity) is not None
-    silent_ms = raft_node.now - raft_node.heard_at
+    silent_ms = raft_node.now - raft_node.leader_contact_at
     has_leader = (
         raft_node.role is node.Role.LEADER or silent_ms < _LEADER_TIMEOUT_MS
     )
