--- a/tests/bench.py
+++ b/tests/bench.py
@@ -23,7 +23,7 @@
 CAPACITY = resource.Resources(16_000, 34_359_738_368, 0, slots=8)
 TASKS_PER_TARGET = 4.4
 MEASURED_TASKS = 6000
-_MEMORY = 1_073_741_824
+_MEMORY_BYTES = 1_073_741_824
 _KINDS = tuple(job.Kind)
 _NS_PER_US = 1000
 _KIB = 1024
@@ -64,14 +64,16 @@
     )
     background_count = round(targets * TASKS_PER_TARGET)
     background = [
-        arrival(number, at=0, run_ms=10**9)
+        create_arrival(number, at=0, run_ms=10**9)
         for number in range(background_count)
     ]
     running.run(background, until=9)
     running.metrics.reducer_ns.clear()
     running.metrics.starts = 0
     stream = [
-        arrival(background_count + number, at=10 + number * 2, run_ms=100)
+        create_arrival(
+            background_count + number, at=10 + number * 2, run_ms=100
+        )
         for number in range(MEASURED_TASKS)
     ]
     gc.collect()
@@ -98,7 +100,7 @@
     ]
 
 
-def arrival(number: int, at: int, run_ms: int) -> replay.Arrival:
+def create_arrival(number: int, at: int, run_ms: int) -> replay.Arrival:
     """Return the arrival of a one-task job; every fifth job is a service."""
     kind = job.Kind.REQUEST
     if number % 5 == 0:
@@ -107,7 +109,7 @@
         kind = job.Kind.BATCH
     needs = job.TaskSpecification(
         millicores=(500, 1000, 1500)[number % 3],
-        memory_bytes=_MEMORY,
+        memory_bytes=_MEMORY_BYTES,
         estimate_ms=run_ms,
         payload='x' * 64,
     )
@@ -124,7 +126,9 @@
 def measure_messages() -> Table:
     """Return the size and codec time of messages between processes."""
     table = Table('message', 'bytes', 'encode + decode us')
-    submitted = event.JobSubmitted(1, arrival(1, 0, 1).specification, 'd' * 64)
+    submitted = event.JobSubmitted(
+        1, create_arrival(1, 0, 1).specification, 'd' * 64
+    )
     started = event.AttemptStart('j123456.0/1', 1_796_378_794_430)
     ended = event.AttemptEnd(
         'j123456.0/1', job.EndReason.COMPLETED, 1, 'x' * 64
@@ -158,7 +162,7 @@
 def start_command() -> wire.Commands:
     """Return the command that starts one task."""
     command = wire.StartCommand(
-        'j123456.0/1', 'j123456.0', 1000, _MEMORY, 0, 1000, 'x' * 64
+        'j123456.0/1', 'j123456.0', 1000, _MEMORY_BYTES, 0, 1000, 'x' * 64
     )
     return wire.Commands('s123456', start=(command,))
 
--- a/tests/history.py
+++ b/tests/history.py
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConfigurationRead:
-    """A configuration version an operator read; times in monotonic s."""
+    """A configuration version read by an operator; monotonic seconds."""
 
     version: int
     began_at: float
--- a/tests/kills.py
+++ b/tests/kills.py
@@ -38,7 +38,7 @@
 
     def __init__(self, running: cell.Cell) -> None:
         """Start the callers."""
-        self.started: list[tuple[float, float]] = []
+        self.start_times: list[tuple[float, float]] = []
         self.lost = 0
         self._cell = running
         self._is_stopping = threading.Event()
@@ -88,7 +88,7 @@
             self.lost += 1
             return
         attempt = job['tasks'][0]['attempts'][-1]
-        self.started.append((submitted_at, attempt['started_at']))
+        self.start_times.append((submitted_at, attempt['started_at']))
 
     def _submit_until_completed(
         self, client: httpx.Client, body: dict[str, Any], sequence: int
@@ -165,7 +165,7 @@
     time.sleep(2)
     start_delays = [
         started_at - max(submitted_at, killed_at)
-        for submitted_at, started_at in list(urgent.started)
+        for submitted_at, started_at in list(urgent.start_times)
         if started_at > killed_at
         and submitted_at < killed_at + _OBSERVATION_S * _MS_PER_S
     ]
--- a/tests/platform_test.py
+++ b/tests/platform_test.py
@@ -412,12 +412,12 @@
         'the job did not complete',
         DONE_S,
     )
-    shown = [
+    exposed = [
         httpx.get(f'http://{host}:9464/metrics', timeout=2).text
         for host in cluster.hosts
     ]
-    assert 'answers_post_200_total' in ''.join(shown)
-    assert 'starts_total' in ''.join(shown)
+    assert 'answers_post_200_total' in ''.join(exposed)
+    assert 'starts_total' in ''.join(exposed)
 
 
 def test_new_leader_keeps_target_assignments(slow_cluster):
@@ -469,7 +469,7 @@
     heartbeats = platform_fakes.HeartbeatSender(
         [malformed], cluster.replica_addresses
     )
-    refused = [
+    statuses = [
         *_send_to_replica(cluster),
         *_send_to_entries(cluster),
     ]
@@ -489,8 +489,8 @@
     malformed.close()
     ended = [one.args for one in processes if one.poll() is not None]
     assert not ended
-    others = [one for one in refused if one[1] // 100 != 4]
-    assert not others
+    unexpected = [one for one in statuses if one[1] // 100 != 4]
+    assert not unexpected
 
 
 def _send_to_replica(cluster):
@@ -572,15 +572,15 @@
         unresponsive.stops_to_ignore = 1000
     slow_cluster.submit(name, count=1, longRunning=True)
 
-    def find_unresponsive():
+    def find_uncontacted():
         return [
             one for one in slow_cluster.workers if one.starts_to_ignore == 1000
         ]
 
     slow_cluster.wait(
-        lambda: len(find_unresponsive()) == 1, 'no start command arrived'
+        lambda: len(find_uncontacted()) == 1, 'no start command arrived'
     )
-    other = find_unresponsive()[0]
+    other = find_uncontacted()[0]
     other.starts_to_ignore = 0
     slow_cluster.wait(
         other.active_runs, 'the task was not started on the other target', 20
