--- a/mulberrywalk/transport/decoding.py
+++ b/mulberrywalk/transport/decoding.py
@@ -76,11 +76,11 @@
     level = [json_data]
     for _ in range(MAX_NESTING_DEPTH):
         if not all(map(_is_in_range, level)):
-            return 'an integer exceeds 2**63 - 1 in magnitude'
+            return 'a number is too large'
         level = [child for parent in level for child in _children_of(parent)]
         if not level:
             return ''
-    return f'nested more than {MAX_NESTING_DEPTH} levels deep'
+    return f'nested more than {MAX_NESTING_DEPTH} deep'
 
 
 def _is_in_range(node: Any) -> bool:
