--- a/tests/bench.py
+++ b/tests/bench.py
@@ -1,4 +1,4 @@
-"""Measures the slopes of docs/CAPACITY.md; run by make bench."""
+"""Measures the costs listed in docs/CAPACITY.md; run by make bench."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 CAPACITY = resource.Resources(16_000, 34_359_738_368, 0, slots=8)
 TASKS_PER_TARGET = 4.4
 MEASURED_TASKS = 6000
-_MEMORY = 1_073_741_824
+_MEMORY_BYTES = 1_073_741_824
 _KINDS = tuple(job.Kind)
 _NS_PER_US = 1000
 _KIB = 1024
@@ -39,7 +39,7 @@
 
 
 def measure_reducer() -> Table:
-    """Return processor time and memory of the state by number of targets."""
+    """Return CPU time and memory of the scheduler state by cell size."""
     table = Table(
         'targets',
         'tasks running',
@@ -58,17 +58,22 @@
 
 
 def measure_size(targets: int) -> list[str]:
-    """Return a row: a cell with its usual load, then a stream of tasks."""
+    """Return the row of a cell: its usual load, then a stream of tasks."""
     running = replay.Replay(
         replay.FleetPlan(targets, CAPACITY, rack_size=8, data_centres=4)
     )
-    standing = round(targets * TASKS_PER_TARGET)
-    fill = [arrival(number, at=0, run_ms=10**9) for number in range(standing)]
-    running.run(fill, until=9)
+    background_count = round(targets * TASKS_PER_TARGET)
+    background = [
+        create_arrival(number, at=0, run_ms=10**9)
+        for number in range(background_count)
+    ]
+    running.run(background, until=9)
     running.metrics.reducer_ns.clear()
     running.metrics.starts = 0
     stream = [
-        arrival(standing + number, at=10 + number * 2, run_ms=100)
+        create_arrival(
+            background_count + number, at=10 + number * 2, run_ms=100
+        )
         for number in range(MEASURED_TASKS)
     ]
     gc.collect()
@@ -95,8 +100,8 @@
     ]
 
 
-def arrival(number: int, at: int, run_ms: int) -> replay.Arrival:
-    """Return a job of one task; a fifth of them are services."""
+def create_arrival(number: int, at: int, run_ms: int) -> replay.Arrival:
+    """Return the arrival of a one-task job; every fifth job is a service."""
     kind = job.Kind.REQUEST
     if number % 5 == 0:
         kind = job.Kind.SERVICE
@@ -104,7 +109,7 @@
         kind = job.Kind.BATCH
     needs = job.TaskSpecification(
         millicores=(500, 1000, 1500)[number % 3],
-        memory_bytes=_MEMORY,
+        memory_bytes=_MEMORY_BYTES,
         estimate_ms=run_ms,
         payload='x' * 64,
     )
@@ -119,9 +124,11 @@
 
 
 def measure_messages() -> Table:
-    """Return the size of what the processes say to each other."""
+    """Return the size and codec time of messages between processes."""
     table = Table('message', 'bytes', 'encode + decode us')
-    submitted = event.JobSubmitted(1, arrival(1, 0, 1).specification, 'd' * 64)
+    submitted = event.JobSubmitted(
+        1, create_arrival(1, 0, 1).specification, 'd' * 64
+    )
     started = event.AttemptStart('j123456.0/1', 1_796_378_794_430)
     ended = event.AttemptEnd(
         'j123456.0/1', job.EndReason.COMPLETED, 1, 'x' * 64
@@ -136,40 +143,40 @@
         message.EntryKind.COMMAND,
         msgspec.msgpack.encode([submitted, *reports, event.TimePassed(1)]),
     )
-    pulse = message.AppendRequest(7, 1, 7, (), 1, 123_456_789)
+    heartbeat = message.AppendRequest(7, 1, 7, (), 1, 123_456_789)
     renewals = wire.Renewals(
         tuple((f's{number}', 123_456) for number in range(100))
     )
     rows = (
         ('log entry of one task: submitted, started, ended', entry),
-        ('heartbeat of the consensus', pulse),
+        ('heartbeat of the consensus', heartbeat),
         ('renewals of 100 sessions', renewals),
         ('start command', start_command()),
         ('time line event', journal.Line(1 << 56, 'replica-1', 'dc', 'placed')),
     )
-    for name, shown in rows:
-        table.add_row(name, *measure_codec(shown))
+    for name, encodable in rows:
+        table.add_row(name, *measure_codec(encodable))
     return table
 
 
 def start_command() -> wire.Commands:
     """Return the command that starts one task."""
     command = wire.StartCommand(
-        'j123456.0/1', 'j123456.0', 1000, _MEMORY, 0, 1000, 'x' * 64
+        'j123456.0/1', 'j123456.0', 1000, _MEMORY_BYTES, 0, 1000, 'x' * 64
     )
     return wire.Commands('s123456', start=(command,))
 
 
-def measure_codec(shown: object) -> list[str]:
-    """Return the size of a message and the time to write and read it."""
-    decoder = msgspec.msgpack.Decoder(type(shown))
+def measure_codec(encodable: object) -> list[str]:
+    """Return the size of a message in bytes and its codec time in us."""
+    decoder = msgspec.msgpack.Decoder(type(encodable))
     encoder = msgspec.msgpack.Encoder()
     rounds = 2000
     began_at = time.process_time()
     for _ in itertools.repeat(None, rounds):
-        decoder.decode(encoder.encode(shown))
+        decoder.decode(encoder.encode(encodable))
     seconds = time.process_time() - began_at
-    size = len(encoder.encode(shown))
+    size = len(encoder.encode(encodable))
     return [str(size), f'{seconds * 1e6 / rounds:.1f}']
 
 
