--- a/tests/guarantees_test.py
+++ b/tests/guarantees_test.py
@@ -33,7 +33,7 @@
 
     def start(**plan):
         started.append(harness.create_cluster(cell.Plan(tmp_path, **plan)))
-        started[-1].running.start()
+        started[-1].running_cell.start()
         return started[-1]
 
     yield start
