--- a/mulberrywalk/core/event.py
+++ b/mulberrywalk/core/event.py
@@ -32,7 +32,7 @@
     nonce makes a repeated announcement return the same session. ended names
     the target's previous session; the target guarantees that none of its
     attempts still run. address is where the entry calls the target, empty for
-    a target that connects by itself; for a called target born_at is the start
+    a target that connects by itself; for a polled target born_at is the start
     of its current incarnation, in milliseconds since 1970.
     """
 
--- a/mulberrywalk/replica/assignment.py
+++ b/mulberrywalk/replica/assignment.py
@@ -1,6 +1,6 @@
-"""Assignment of called targets to entries.
+"""Assignment of polled targets to entries.
 
-A called target does not connect to an entry; an entry connects to it. The
+A polled target does not connect to an entry; an entry calls it. The
 assignments are not replicated: each entry reports the sessions it serves to a
 new leader and keeps them, so that a change of leader alone moves no target.
 Sessions that no entry claims are spread over the entries linked by then.
@@ -26,7 +26,7 @@
 
 
 class Assignments:
-    """Assigns the called targets to entries while this replica leads.
+    """Assigns the polled targets to entries while this replica leads.
 
     Times are milliseconds of this process's monotonic clock.
     """
@@ -127,7 +127,7 @@
     def may_renew(self, session: identity.SessionId, entry: str) -> bool:
         """Return whether an entry may renew a session.
 
-        The session of a called target is renewed only by its assigned entry,
+        The session of a polled target is renewed only by its assigned entry,
         any other session by every entry.
         """
         known = self._engine.tables.sessions.get(session)
--- a/mulberrywalk/replica/assignment_test.py
+++ b/mulberrywalk/replica/assignment_test.py
@@ -29,7 +29,7 @@
 
 
 class FakeEngine:
-    """A state with called targets, in term 3."""
+    """A state with polled targets, in term 3."""
 
     def __init__(self, targets=1):
         self.cell = cell_test.Cell()
--- a/mulberrywalk/replica/registry.py
+++ b/mulberrywalk/replica/registry.py
@@ -1,4 +1,4 @@
-"""Registration of called targets by their heartbeats to the leader.
+"""Registration of polled targets by their heartbeats to the leader.
 
 A heartbeat that changes nothing is acknowledged at once; one that changes the
 state is acknowledged when its event is committed.
@@ -32,7 +32,7 @@
 
 
 class Registry:
-    """Opens and ends the sessions of called targets."""
+    """Opens and ends the sessions of polled targets."""
 
     def __init__(self, replica_engine: engine.Engine) -> None:
         """Start with no heartbeats received."""
--- a/mulberrywalk/replica/registry_test.py
+++ b/mulberrywalk/replica/registry_test.py
@@ -1,4 +1,4 @@
-"""Heartbeats of called targets: recorded, outdated or of unknown pools."""
+"""Heartbeats of polled targets: recorded, outdated or of unknown pools."""
 
 import dataclasses
 
