--- a/mulberrywalk/core/retry.py
+++ b/mulberrywalk/core/retry.py
@@ -1,55 +1,56 @@
-"""Whether and when a task is tried again."""
+"""Retry budgets, retry delays and retry limits of tasks."""
 
 from __future__ import annotations
 
 from . import configuration, job, state
 
-TOKEN = 100
-_LONGEST_DOUBLING = 6
+# One retry token; budgets are kept in hundredths of a token.
+TOKEN_UNITS = 100
+_MAX_DOUBLINGS = 6
 
 
-def credit(tables: state.State, team: str) -> None:
-    """Credit a team's retry budget for an attempt that ended well."""
+def credit_budget(tables: state.State, team: str) -> None:
+    """Credit a team's retry budget for an attempt that completed."""
     limits = configuration.team_limits(tables.configuration.document, team)
-    full = tables.configuration.document.retry_burst * TOKEN
+    full_budget = tables.configuration.document.retry_burst * TOKEN_UNITS
     tables.budgets[team] = min(
-        full, tables.budgets.get(team, full) + limits.retry_percent
+        full_budget,
+        tables.budgets.get(team, full_budget) + limits.retry_percent,
     )
 
 
-def delay(tables: state.State, team: str, failures: int) -> int:
-    """Take a retry from the team's budget and return its delay in ms.
+def charge_retry(tables: state.State, team: str, failures: int) -> int:
+    """Charge a retry to the team's budget and return its delay in ms.
 
-    The delay doubles with each failure. A team without budget is not
-    refused the retry, for accepted work is never dropped, but waits the
-    longest delay.
+    The delay doubles with each failure. Accepted work is never dropped, so a
+    team without budget is not refused the retry but waits the longest delay.
     """
     document = tables.configuration.document
-    full = document.retry_burst * TOKEN
-    left = tables.budgets.get(team, full)
-    doubling = min(failures - 1, _LONGEST_DOUBLING)
-    if left < TOKEN:
-        doubling = _LONGEST_DOUBLING
+    full_budget = document.retry_burst * TOKEN_UNITS
+    remaining = tables.budgets.get(team, full_budget)
+    doublings = min(failures - 1, _MAX_DOUBLINGS)
+    if remaining < TOKEN_UNITS:
+        doublings = _MAX_DOUBLINGS
     else:
-        tables.budgets[team] = left - TOKEN
-    return document.retry_first_ms << doubling
+        tables.budgets[team] = remaining - TOKEN_UNITS
+    return document.retry_first_ms << doublings
 
 
 def is_exhausted(tables: state.State, task: job.Task) -> bool:
-    """Return whether a task has failed or been lost too often to go on.
+    """Return whether a task has used up its failures or target losses.
 
-    A service is restarted for as long as it is wanted.
+    A service is restarted until its job is cancelled.
     """
     if tables.specification(task).kind is job.Kind.SERVICE:
         return False
     document = tables.configuration.document
     return (
-        task.failures >= most_failures(tables, task)
+        task.failures >= failure_limit(tables, task)
         or task.losses >= document.max_losses
     )
 
 
-def most_failures(tables: state.State, task: job.Task) -> int:
-    """Return after how many failures a task is given up."""
-    chosen = tables.specification(task).max_failures
-    return chosen or tables.configuration.document.max_failures
+def failure_limit(tables: state.State, task: job.Task) -> int:
+    """Return the number of failures after which a task is not retried."""
+    configured = tables.specification(task).max_failures
+    return configured or tables.configuration.document.max_failures
--- a/mulberrywalk/core/snapshot.py
+++ b/mulberrywalk/core/snapshot.py
@@ -1,4 +1,4 @@
-"""Encoding of the state's records; indexes are rebuilt from them."""
+"""Encoding of the state's records, from which its indexes are rebuilt."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 RefusalItem = tuple[tuple[str, str], state.Refusal]
 
 
-class Image(msgspec.Struct, frozen=True):
-    """All records of a state, in the order of their identifiers."""
+class SnapshotRecords(msgspec.Struct, frozen=True):
+    """All records of a state, sorted by identifier."""
 
     time: int
     sequence: int
@@ -46,69 +46,71 @@
 
 
 def encode(tables: state.State) -> bytes:
-    """Return the records; equal states give equal bytes."""
-    image = Image(
+    """Encode the records; equal states give equal bytes."""
+    records = SnapshotRecords(
         time=tables.time,
         sequence=tables.sequence,
         configuration=tables.configuration,
-        jobs=_ordered(tables.jobs),
-        tasks=_ordered(tables.tasks),
-        attempts=_ordered(tables.attempts),
-        targets=_ordered(tables.targets),
-        sessions=_ordered(tables.sessions),
+        jobs=_sorted_records(tables.jobs),
+        tasks=_sorted_records(tables.tasks),
+        attempts=_sorted_records(tables.attempts),
+        targets=_sorted_records(tables.targets),
+        sessions=_sorted_records(tables.sessions),
         budgets=dict(sorted(tables.budgets.items())),
         patches=list(tables.patches.items()),
         reservation=tables.reservation,
         refusals=list(tables.refusals.items()),
-        steps=_ordered(tables.steps),
+        steps=_sorted_records(tables.steps),
         durations=dict(sorted(tables.durations.items())),
-        led_from=tables.led_from,
+        led_from=tables.leader_since,
     )
-    return msgspec.msgpack.encode(image)
+    return msgspec.msgpack.encode(records)
 
 
 def decode(encoded: bytes) -> state.State:
-    """Return a state with the records and all of its indexes."""
-    image = msgspec.msgpack.decode(encoded, type=Image)
+    """Decode a state and rebuild its indexes."""
+    records = msgspec.msgpack.decode(encoded, type=SnapshotRecords)
     tables = state.State(
-        time=image.time,
-        led_from=image.led_from,
-        sequence=image.sequence,
-        configuration=image.configuration,
-        jobs={record.job: record for record in image.jobs},
-        tasks={record.task: record for record in image.tasks},
-        targets={record.target: record for record in image.targets},
-        sessions={record.session: record for record in image.sessions},
-        budgets=image.budgets,
-        patches=dict(image.patches),
-        refusals=dict(image.refusals),
-        steps={record.step: record for record in image.steps},
-        durations=image.durations,
-        queues={one.name: one for one in image.configuration.routing.queues},
+        time=records.time,
+        leader_since=records.led_from,
+        sequence=records.sequence,
+        configuration=records.configuration,
+        jobs={record.job: record for record in records.jobs},
+        tasks={record.task: record for record in records.tasks},
+        targets={record.target: record for record in records.targets},
+        sessions={record.session: record for record in records.sessions},
+        budgets=records.budgets,
+        patches=dict(records.patches),
+        refusals=dict(records.refusals),
+        steps={record.step: record for record in records.steps},
+        durations=records.durations,
+        queues={
+            queue.name: queue for queue in records.configuration.routing.queues
+        },
     )
     _index_targets(tables)
     _index_jobs(tables)
-    for attempt in image.attempts:
+    for attempt in records.attempts:
         state.add_attempt(tables, attempt)
     _index_tasks(tables)
-    _restore_reservation(tables, image.reservation)
+    _restore_reservation(tables, records.reservation)
     return tables
 
 
-def _ordered(table: dict[Key, Record]) -> list[Record]:
+def _sorted_records(table: dict[Key, Record]) -> list[Record]:
     return [table[key] for key in sorted(table)]
 
 
 def _index_targets(tables: state.State) -> None:
-    for opened in tables.sessions.values():
-        tables.session_counts[opened.target] += 1
+    for session_record in tables.sessions.values():
+        tables.session_counts[session_record.target] += 1
     for record in tables.targets.values():
-        session.install_load(tables, record)
+        session.index_target(tables, record)
         if record.address:
             tables.addresses[record.address] = record.target
         if record.health.until > tables.time:
             tables.quarantined.add((record.health.until, record.target))
-        health.refresh(tables, record.target)
+        health.refresh_index(tables, record.target)
 
 
 def _index_jobs(tables: state.State) -> None:
@@ -119,9 +121,9 @@
         if record.unfinished == 0:
             tables.finished.add((record.ended_at, record.job))
         elif specification.kind is job.Kind.WORKFLOW:
-            workflow.schedule(tables, record)
+            workflow.schedule_next_occurrence(tables, record)
         if record.state is job.JobState.QUEUED:
-            lifecycle.count_pending(tables, record, 1)
+            lifecycle.adjust_pending(tables, record, 1)
 
 
 def _index_tasks(tables: state.State) -> None:
@@ -131,10 +133,10 @@
         if task.state is job.TaskState.WAITING
     ]
     for task in waiting:
-        queueing.wait(tables, task)
+        queueing.add_task(tables, task)
     for attempt in tables.attempts.values():
         if attempt.lost_at or not attempt.started_at:
-            state.note_absence(tables, tables.tasks[attempt.task])
+            state.mark_absent(tables, tables.tasks[attempt.task])
 
 
 def _restore_reservation(
--- a/mulberrywalk/core/state.py
+++ b/mulberrywalk/core/state.py
@@ -1,8 +1,9 @@
-"""The state that the reducer owns: tables of records and their indexes.
+"""The state owned by the reducer: tables of records and their indexes.
 
-Records are immutable and replaced whole. The tables are changed in place,
-because copying maps of tens of thousands of records for each event would
-cost more than the decisions; only the reducer and its helpers may do so.
+Records are immutable and replaced as a whole. The tables are changed in
+place, because copying maps of tens of thousands of records for each event
+would cost more than the decisions; only the reducer and the functions it calls
+may change them.
 """
 
 from __future__ import annotations
@@ -25,16 +26,16 @@
     waiting,
 )
 
-PATCHES_KEPT = 10_000
-REFUSALS_KEPT = 20_000
-# Longer than an entry keeps a submission under way.
-REFUSAL_KEPT_MS = 30_000
+MAX_PATCH_RECORDS = 10_000
+MAX_REFUSAL_RECORDS = 20_000
+# Longer than a submission can stay in flight at an entry.
+REFUSAL_RETENTION_MS = 30_000
 
 Queues: TypeAlias = dict[str, configuration.Queue]
 
 
 class PatchRecord(msgspec.Struct, frozen=True):
-    """The first answer to a patch: its version, or why it was refused."""
+    """The first answer to a patch: the resulting version, or the refusal."""
 
     digest: str
     version: int
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Refusal:
-    """A refused submission, remembered for resends that come late."""
+    """A refused submission, remembered to answer late resends of it."""
 
     digest: str
     reason: str
@@ -54,7 +55,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reservation:
-    """Targets kept for a gang; starts_at estimates when all are free."""
+    """Targets reserved for a gang; starts_at estimates when all are free."""
 
     job: identity.JobId
     targets: tuple[identity.TargetId, ...]
@@ -64,12 +65,12 @@
 
 @dataclasses.dataclass(slots=True)
 class State:
-    """Everything that is decided from.
+    """All data on which decisions are based.
 
-    time is the latest event's, in milliseconds since 1970. budgets holds the
-    retry tokens of each team in hundredths. requests finds the job of a team's
-    request id. durations holds what a task of each queue takes, in
-    microseconds. finished orders ended jobs by the time of their end.
+    time is that of the latest event, in milliseconds since 1970. budgets holds
+    the retry tokens of each team in hundredths. requests maps a team and its
+    request id to the job. durations holds the typical duration of a task in
+    each queue, in microseconds. finished holds ended jobs by end time.
     """
 
     time: int = 0
@@ -106,17 +107,17 @@
     durations: dict[str, int] = dataclasses.field(default_factory=dict)
 
     fleet: fleet.Fleet = dataclasses.field(default_factory=fleet.Fleet)
-    waiting: waiting.Waiting = dataclasses.field(
-        default_factory=waiting.Waiting
+    waiting: waiting.WaitingTasks = dataclasses.field(
+        default_factory=waiting.WaitingTasks
     )
     requests: dict[tuple[str, str], identity.JobId] = dataclasses.field(
         default_factory=dict
     )
     finished: SortedList = dataclasses.field(default_factory=SortedList)
-    by_session: dict[identity.SessionId, set[identity.AttemptId]] = (
+    attempts_by_session: dict[identity.SessionId, set[identity.AttemptId]] = (
         dataclasses.field(default_factory=lambda: collections.defaultdict(set))
     )
-    by_urgency: dict[job.Urgency, SortedList] = dataclasses.field(
+    attempts_by_urgency: dict[job.Urgency, SortedList] = dataclasses.field(
         default_factory=lambda: {
             urgency: SortedList() for urgency in job.Urgency
         }
@@ -131,31 +132,31 @@
     team_usage: dict[str, resource.Resources] = dataclasses.field(
         default_factory=dict
     )
-    preempting: int = 0
-    # Attempts of steps that have not started: when they were placed, and which.
+    preempting_attempts: int = 0
+    # Attempts of steps whose start is not confirmed, by placement time.
     unconfirmed: SortedList = dataclasses.field(default_factory=SortedList)
-    # The next occurrence of each job: when it is due, and the job.
+    # Due time of the next occurrence of each job, and the job.
     due: SortedList = dataclasses.field(default_factory=SortedList)
-    # Live attempts of each step by target.
+    # Number of live attempts of each step on each target.
     step_loads: dict[
         identity.StepId, collections.Counter[identity.TargetId]
     ] = dataclasses.field(default_factory=dict)
-    # Accepted jobs of each queue of which nothing has started.
+    # Number of accepted jobs of each queue that have not started.
     pending: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    # The queues of the routing in force, by name.
+    # Queues of the current routing by name.
     queues: Queues = dataclasses.field(default_factory=dict)
-    # The target that was last known at an address.
+    # The last known target at each address.
     addresses: dict[str, identity.TargetId] = dataclasses.field(
         default_factory=dict
     )
-    # When the present leader began.
-    led_from: int = 0
-    # Targets in a silence.
+    # When the current leader began its term.
+    leader_since: int = 0
+    # Targets that have missed lease renewals (see target.Silence).
     silent: set[identity.TargetId] = dataclasses.field(default_factory=set)
     # Tasks of lasting steps that wait, whose start is not confirmed, or whose
-    # target has another life.
+    # target has restarted since.
     absent: set[identity.TaskId] = dataclasses.field(default_factory=set)
     effects: list[effect.Effect] = dataclasses.field(default_factory=list)
 
@@ -166,66 +167,66 @@
     def task_specification(
         self, task: job.Task
     ) -> job.TaskSpecification | job.StepSpecification:
-        """Return what a task needs."""
+        """Return the specification of what a task needs."""
         specification = self.specification(task)
         if specification.kind is job.Kind.WORKFLOW:
             return specification.steps[task.step]
         return specification.tasks[task.number]
 
     def step_specification(self, step: job.Step) -> job.StepSpecification:
-        """Return what each task of a step needs."""
+        """Return the specification of a step."""
         record = self.jobs[step.job]
         return record.specification.steps[step.number]
 
     def demand(self, task: job.Task) -> resource.Resources:
-        """Return what a task is placed with: declared, or seen in use."""
+        """Return the declared amounts, raised to the memory that was used."""
         declared = self.task_specification(task).demand()
         if task.used_bytes <= declared.memory_bytes:
             return declared
         return msgspec.structs.replace(declared, memory_bytes=task.used_bytes)
 
     def next_sequence(self) -> int:
-        """Return a number that was not used before."""
+        """Return the next unused sequence number."""
         self.sequence += 1
         return self.sequence
 
-    def emit(self, emitted: effect.Effect) -> None:
-        """Add an effect to those of the present event."""
-        self.effects.append(emitted)
+    def emit(self, requested: effect.Effect) -> None:
+        """Add an effect to those of the current event."""
+        self.effects.append(requested)
 
 
 def add_attempt(state: State, attempt: job.Attempt) -> None:
-    """Count a live attempt against its target, team and urgency."""
+    """Add a live attempt; charge it to its target, team and urgency."""
     task = state.tasks[attempt.task]
     specification = state.specification(task)
     state.attempts[attempt.attempt] = attempt
-    state.by_session[attempt.session].add(attempt.attempt)
-    state.by_urgency[specification.urgency].add(
+    state.attempts_by_session[attempt.session].add(attempt.attempt)
+    state.attempts_by_urgency[specification.urgency].add(
         (attempt.placed_at, attempt.attempt)
     )
     if attempt.stopping is job.StopReason.PREEMPTED:
-        state.preempting += 1
+        state.preempting_attempts += 1
     if _is_unconfirmed(state, task, attempt):
         state.unconfirmed.add((attempt.placed_at, attempt.attempt))
-    _count_of_step(state, task, attempt, 1)
-    _account(state, attempt, specification, attempt.held)
+    _adjust_step_load(state, task, attempt, 1)
+    _charge(state, attempt, specification, attempt.held)
 
 
 def remove_attempt(state: State, attempt: job.Attempt) -> None:
-    """Give back what an attempt held, its end being known."""
+    """Remove an ended attempt and release the resources it held."""
     task = state.tasks[attempt.task]
     specification = state.specification(task)
     state.attempts.pop(attempt.attempt)
-    session_attempts = state.by_session[attempt.session]
+    session_attempts = state.attempts_by_session[attempt.session]
     session_attempts.discard(attempt.attempt)
-    state.by_urgency[specification.urgency].remove(
+    state.attempts_by_urgency[specification.urgency].remove(
         (attempt.placed_at, attempt.attempt)
     )
     if attempt.stopping is job.StopReason.PREEMPTED:
-        state.preempting -= 1
+        state.preempting_attempts -= 1
     state.unconfirmed.discard((attempt.placed_at, attempt.attempt))
-    _count_of_step(state, task, attempt, -1)
-    _account(
+    _adjust_step_load(state, task, attempt, -1)
+    _charge(
         state,
         attempt,
         specification,
@@ -234,26 +235,26 @@
 
 
 def replace_attempt(state: State, changed: job.Attempt) -> None:
-    """Replace a live attempt by a later record of it."""
-    present = state.attempts[changed.attempt]
-    if changed.held == present.held and changed.stopping is present.stopping:
-        # Nothing is accounted differently: the indexes stay as they are.
+    """Replace the record of a live attempt."""
+    current = state.attempts[changed.attempt]
+    if changed.held == current.held and changed.stopping is current.stopping:
+        # No other field affects the usage totals or the remaining indexes.
         state.attempts[changed.attempt] = changed
         if changed.started_at and state.unconfirmed:
             state.unconfirmed.discard((changed.placed_at, changed.attempt))
         return
-    remove_attempt(state, present)
+    remove_attempt(state, current)
     add_attempt(state, changed)
 
 
 def is_lasting(state: State, task: job.Task) -> bool:
-    """Return whether a task is to run until its job is cancelled."""
+    """Return whether a task runs until its job is cancelled."""
     needs = state.task_specification(task)
     return getattr(needs, 'is_lasting', False)
 
 
-def note_absence(state: State, task: job.Task) -> None:
-    """Note that a task does not run, if it is one that lasts."""
+def mark_absent(state: State, task: job.Task) -> None:
+    """Record a task of a lasting step as not running."""
     if is_lasting(state, task):
         state.absent.add(task.task)
 
@@ -263,15 +264,15 @@
     return is_of_step and not attempt.started_at and attempt.stopping is None
 
 
-def count_on(
+def count_step_attempts(
     state: State, step: identity.StepId, target: identity.TargetId
 ) -> int:
-    """Return how many live attempts of a step a target has."""
+    """Return the number of live attempts of a step on a target."""
     loads = state.step_loads.get(step)
     return loads[target] if loads else 0
 
 
-def _count_of_step(
+def _adjust_step_load(
     state: State, task: job.Task, attempt: job.Attempt, change: int
 ) -> None:
     name = task.step_id()
@@ -286,16 +287,16 @@
 
 
 def is_trial(state: State, attempt: job.Attempt, health: target.Health) -> bool:
-    """Return whether an attempt tells how a target does after quarantine.
+    """Return whether an attempt is a trial of a target after its quarantine.
 
-    One that lasts tells nothing, for it does not complete.
+    An attempt of a lasting step is none, because it does not complete.
     """
     if not health.level or attempt.placed_at < health.until:
         return False
     return not is_lasting(state, state.tasks[attempt.task])
 
 
-def _account(
+def _charge(
     state: State,
     attempt: job.Attempt,
     specification: job.Specification,
@@ -320,4 +321,4 @@
     else:
         load.attempts.discard(attempt.attempt)
         load.trials.discard(attempt.attempt)
-    state.fleet.change(load, free=free)
+    state.fleet.update(load, free=free)
--- /dev/null
+++ b/mulberrywalk/core/step_placement.py
@@ -0,0 +1,320 @@
+"""Placement of the waiting tasks of a step, as many as fit.
+
+Steps can be wide, with many equal tasks, and the adviser, labels or tasks of
+the same step can rule out some of the targets.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import itertools
+
+import msgspec
+
+from . import (
+    advice,
+    fleet,
+    identity,
+    job,
+    lifecycle,
+    resource,
+    speed,
+    state,
+    workflow,
+)
+
+# Maximum number of targets considered for a step without an adviser.
+_MAX_CANDIDATES = 64
+_AVOIDED_END_REASONS = job.NEVER_RAN_REASONS | {
+    job.EndReason.FAILED,
+    job.EndReason.SESSION_LOST,
+    job.EndReason.LEASE_LAPSED,
+}
+# Targets within the same range of this many permille are equally fast.
+_SLOWNESS_RANGE = 100
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class StepPlacement:
+    """A step that is being placed; tickets is empty without an adviser."""
+
+    step: job.Step
+    needs: job.StepSpecification
+    demand: resource.Resources
+    candidates: list[fleet.TargetLoad]
+    tickets: dict[identity.TargetId, str]
+
+
+def place(tables: state.State, name: identity.StepId) -> bool:
+    """Place the tasks of a step that fit; return whether any was placed.
+
+    If tasks remain, advice is requested for the targets that are eligible.
+    """
+    step = tables.steps[name]
+    needs = tables.step_specification(step)
+    is_unadvised = bool(step.asked_at) and not step.tickets
+    if is_unadvised and advice.is_request_pending(tables, step):
+        return False
+    if next(tables.fleet.most_free(needs.demand()), None) is None:
+        return False
+    numbers = list(tables.waiting.steps.get(name, ()))
+    if needs.is_gang and len(numbers) < needs.count:
+        return False
+    suitable = _find_suitable(tables, step, needs)
+    placement = _prepare(tables, step, needs, suitable)
+    if needs.is_gang:
+        count = _place_gang(tables, placement, numbers)
+    else:
+        count = _place_each(tables, placement, numbers)
+    if count < len(numbers):
+        advice.request_advice(
+            tables, tables.steps[name], find_eligible_targets(tables, name)
+        )
+    return count > 0
+
+
+def find_eligible_targets(
+    tables: state.State, name: identity.StepId
+) -> list[fleet.TargetLoad]:
+    """Return the targets that a step could run on, regardless of advice.
+
+    For a job with an adviser, free capacity is disregarded as well.
+    """
+    step = tables.steps[name]
+    needs = tables.step_specification(step)
+    return [
+        load
+        for load in _find_suitable(tables, step, needs)
+        if _is_below_limit(tables, step, load)
+    ]
+
+
+def _prepare(
+    tables: state.State,
+    step: job.Step,
+    needs: job.StepSpecification,
+    suitable: list[fleet.TargetLoad],
+) -> StepPlacement:
+    tickets: dict[identity.TargetId, str] = {}
+    candidates = suitable
+    if tables.jobs[step.job].specification.advice is not None:
+        tickets = advice.find_valid_tickets(tables, step)
+        candidates = [load for load in suitable if load.target in tickets]
+    return StepPlacement(step, needs, needs.demand(), candidates, tickets)
+
+
+def _find_suitable(
+    tables: state.State, step: job.Step, needs: job.StepSpecification
+) -> list[fleet.TargetLoad]:
+    """Return the open targets that a step may run on, regardless of advice."""
+    specification = tables.jobs[step.job].specification
+    demand = needs.demand()
+    # Sorted by name, because a restored replica may have another order.
+    loads = (
+        load
+        for _, load in sorted(tables.fleet.loads.items())
+        if load.is_available()
+        and load.matches(specification.pool, needs.label)
+        and resource.fits(demand, load.capacity)
+    )
+    if specification.advice is not None:
+        return list(loads)
+    fitting = (load for load in loads if resource.fits(demand, load.free))
+    return list(itertools.islice(fitting, _MAX_CANDIDATES))
+
+
+def _place_each(
+    tables: state.State, placement: StepPlacement, numbers: list[int]
+) -> int:
+    for count, number in enumerate(numbers):
+        task = _get_task(tables, placement.step, number)
+        load = _choose(tables, placement, task)
+        if load is None:
+            return count
+        _place(tables, placement, task, load, task.attempts + 1)
+    return len(numbers)
+
+
+def _place_gang(
+    tables: state.State, placement: StepPlacement, numbers: list[int]
+) -> int:
+    """Place all members on targets that together hold them, or none."""
+    racks = {load.rack for load in placement.candidates}
+    choices = [placement.candidates]
+    if placement.needs.is_rack_local:
+        choices = [
+            *(
+                [load for load in placement.candidates if load.rack == rack]
+                for rack in sorted(racks)
+            ),
+            placement.candidates,
+        ]
+    for candidates in choices:
+        chosen = _allocate(tables, placement, candidates, len(numbers))
+        if chosen is not None:
+            _place_members(tables, placement, numbers, chosen)
+            return len(numbers)
+    return 0
+
+
+def _place_members(
+    tables: state.State,
+    placement: StepPlacement,
+    numbers: list[int],
+    chosen: list[fleet.TargetLoad],
+) -> None:
+    run = workflow.highest_attempt_number(tables, placement.step) + 1
+    members = [_get_task(tables, placement.step, number) for number in numbers]
+    # A checkpoint of one member applies to all, and all must carry the same.
+    saved = next(
+        (
+            gang_member.checkpoint
+            for gang_member in members
+            if gang_member.checkpoint
+        ),
+        '',
+    )
+    for member, load in zip(members, chosen, strict=True):
+        task = msgspec.structs.replace(member, checkpoint=saved)
+        _place(tables, placement, task, load, run)
+
+
+def _allocate(
+    tables: state.State,
+    placement: StepPlacement,
+    candidates: list[fleet.TargetLoad],
+    count: int,
+) -> list[fleet.TargetLoad] | None:
+    """Return targets for a number of equal tasks, or None when they do not fit.
+
+    Steady targets go first, and among them those with the least free.
+    """
+    chosen: list[fleet.TargetLoad] = []
+    least_free_first = sorted(candidates, key=_free_order)
+    steady_first = sorted(
+        least_free_first, key=lambda load: _is_unsteady(tables, load)
+    )
+    for load in steady_first:
+        task_count = resource.count_fitting(
+            placement.demand, load.free, job.MAX_TASKS
+        )
+        if load.is_on_probation:
+            task_count = min(task_count, 1)
+        limit = placement.needs.per_target_limit
+        if limit:
+            task_count = min(
+                task_count,
+                limit
+                - state.count_step_attempts(
+                    tables, placement.step.step, load.target
+                ),
+            )
+        chosen.extend(itertools.repeat(load, max(0, task_count)))
+        if len(chosen) >= count:
+            return chosen[:count]
+    return None
+
+
+def _choose(
+    tables: state.State, placement: StepPlacement, task: job.Task
+) -> fleet.TargetLoad | None:
+    fitting = [
+        load
+        for load in placement.candidates
+        if resource.fits(placement.demand, load.free)
+        and load.is_available()
+        and _is_below_limit(tables, placement.step, load)
+    ]
+    if not fitting:
+        return None
+    avoided = _find_avoided(task)
+    present = tables.step_loads.get(placement.step.step, ())
+    racks = {tables.fleet.loads[name].rack for name in present}
+    needs = placement.needs
+
+    def rank(load: fleet.TargetLoad) -> tuple[int, ...]:
+        return (
+            int(load.target in avoided),
+            int(_is_unsteady(tables, load)),
+            int(bool(needs.data_rack) and load.rack != needs.data_rack),
+            int(needs.is_rack_local and bool(racks) and load.rack not in racks),
+            *_load_rank(tables, placement, load),
+        )
+
+    return min(fitting, key=lambda load: (rank(load), load.target))
+
+
+def _load_rank(
+    tables: state.State, placement: StepPlacement, load: fleet.TargetLoad
+) -> tuple[int, ...]:
+    """Return the sort key of a target among those that are equally near."""
+    needs = placement.needs
+    if needs.is_lasting:
+        siblings = state.count_step_attempts(
+            tables, placement.step.step, load.target
+        )
+        return siblings, -load.free.millicores
+    if needs.is_filler:
+        return _count_serving(tables, load), -load.free.millicores
+    slowness = speed.slowness_of(tables, load.target)
+    urgency = tables.jobs[placement.step.job].specification.urgency
+    if job.rank(urgency) == 0:
+        return slowness // _SLOWNESS_RANGE, load.free.millicores
+    # Leave fast targets to urgent work as long as there are others.
+    is_slow = slowness > speed.SLOW_THRESHOLD
+    return int(is_slow), -(slowness // _SLOWNESS_RANGE), load.free.millicores
+
+
+def _count_serving(tables: state.State, load: fleet.TargetLoad) -> int:
+    """Return the number of tasks with a latency target on a target."""
+    tasks = (tables.tasks[tables.attempts[name].task] for name in load.attempts)
+    return sum(
+        bool(
+            getattr(
+                tables.task_specification(running_task), 'latency_target_ms', 0
+            )
+        )
+        for running_task in tasks
+    )
+
+
+def _is_below_limit(
+    tables: state.State, step: job.Step, load: fleet.TargetLoad
+) -> bool:
+    limit = tables.step_specification(step).per_target_limit
+    return (
+        not limit
+        or state.count_step_attempts(tables, step.step, load.target) < limit
+    )
+
+
+def _find_avoided(task: job.Task) -> set[identity.TargetId]:
+    """Return the targets on which the task has failed or was lost."""
+    return {
+        ended.target
+        for ended in task.history
+        if ended.reason in _AVOIDED_END_REASONS
+    }
+
+
+def _is_unsteady(tables: state.State, load: fleet.TargetLoad) -> bool:
+    return tables.targets[load.target].unsteady_until > tables.time
+
+
+def _free_order(load: fleet.TargetLoad) -> tuple[int, str]:
+    return load.free.millicores, load.target
+
+
+def _get_task(tables: state.State, step: job.Step, number: int) -> job.Task:
+    return tables.tasks[identity.TaskId(f'{step.step}.{number}')]
+
+
+def _place(
+    tables: state.State,
+    placement: StepPlacement,
+    task: job.Task,
+    load: fleet.TargetLoad,
+    number: int,
+) -> None:
+    ticket = placement.tickets.get(load.target, '')
+    lifecycle.place(tables, task, load, number=number, ticket=ticket)
--- a/mulberrywalk/entry/program.py
+++ b/mulberrywalk/entry/program.py
@@ -1,4 +1,4 @@
-"""The entry program: settings, composition and life cycle."""
+"""The entry program: settings, startup and shutdown."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from hypercorn import config as hypercorn_config
 
 from ..telemetry import cost, journal, metric, setting
-from . import caller, connection, protocol, session, upstream
+from . import connection, http_api, protocol, session, upstream
 
-_EXIT_ADDRESS = 3
-_POLL_S = 0.05
+_EXIT_ADDRESS_ERROR = 3
+_POLL_INTERVAL_S = 0.05
 _LOG_FORMATS = frozenset(('text', 'json'))
-_LONGEST_MS = 3_600_000
+_MAX_DURATION_MS = 3_600_000
 _MS_PER_S = 1000
-_QUIET_POLLS = 4
+_IDLE_POLLS_TO_STOP = 4
 _BACKLOG = 1024
-_IDLE_S = 75
+_KEEP_ALIVE_S = 75
 
-# An ASGI application, in the form that the server takes.
+# An ASGI application, as the HTTP server accepts it.
 Application = Any
 
 application = typer.Typer(add_completion=False)
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """Checked settings of an entry; addresses are host:port."""
+    """Validated settings of an entry; addresses are host:port."""
 
     name: str
     data_centre: str
@@ -43,8 +43,8 @@
     log_format: str
     notice_ms: int
     drain_limit_ms: int
-    current_ms: int = upstream.CURRENT_MS
-    idle_s: int = _IDLE_S
+    configuration_max_age_ms: int = upstream.CONFIGURATION_MAX_AGE_MS
+    keep_alive_s: int = _KEEP_ALIVE_S
 
 
 @application.command()
@@ -68,109 +68,112 @@
 ) -> None:
     """Run an entry: HTTP for callers and operators, sessions of targets.
 
-    On SIGTERM readiness goes off for the notice, then requests in progress
-    end, at most within the drain limit. A second signal stops at once.
+    On SIGTERM the entry reports that it is not ready for the notice period,
+    then waits for requests in progress up to the drain limit. A second signal
+    stops it at once.
     """
     checker = setting.Checker()
-    checked = Settings(
+    settings = Settings(
         name=checker.name('--name', name),
         data_centre=checker.name('--data-centre', data_centre),
         listen=checker.address('--listen', listen),
         replicas=checker.addresses('--replicas', replicas),
         statsd=checker.optional_address('--statsd', statsd),
         log_format=checker.choice('--log-format', log_format, _LOG_FORMATS),
-        notice_ms=checker.number('--notice-ms', notice_ms, 0, _LONGEST_MS),
+        notice_ms=checker.number('--notice-ms', notice_ms, 0, _MAX_DURATION_MS),
         drain_limit_ms=checker.number(
-            '--drain-limit-ms', drain_limit_ms, 0, _LONGEST_MS
+            '--drain-limit-ms', drain_limit_ms, 0, _MAX_DURATION_MS
         ),
     )
-    checker.finish()
-    journal.open_log(is_json=checked.log_format == 'json')
+    checker.exit_on_errors()
+    journal.open_log(is_json=settings.log_format == 'json')
     try:
-        anyio.run(serve, checked, backend='asyncio')
+        anyio.run(serve, settings, backend='asyncio')
     except* OSError as errors:
         for error in errors.exceptions:
             typer.echo(str(error), err=True)
-        raise typer.Exit(_EXIT_ADDRESS) from errors
+        raise typer.Exit(_EXIT_ADDRESS_ERROR) from errors
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
-    """What an extension of the entry is composed with."""
+class Components:
+    """The components of an entry that an extension may use."""
 
     settings: Settings
     leader: upstream.Upstream
     sessions: session.Sessions
-    interface: caller.Interface
-    lines: journal.Journal
+    api: http_api.HttpApi
+    event_log: journal.Journal
     metrics: metric.Exposition
 
 
 class Extension(abc.ABC):
-    """Adds interfaces and targets of another kind to an entry."""
+    """Adds further interfaces and kinds of targets to an entry."""
 
     @abc.abstractmethod
     def extend(
-        self, parts: Parts, application: Application
+        self, components: Components, application: Application
     ) -> tuple[Application, tuple[str, ...]]:
-        """Return the application to serve, and the addresses to serve it on.
+        """Return the application to serve and the addresses to bind.
 
-        application is the entry's own one.
+        application is the one that the entry serves without an extension.
         """
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Do the extension's own work until it is cancelled."""
+        """Run the background work of the extension until cancelled."""
 
 
 class NoExtension(Extension):
-    """The entry as it is."""
+    """An extension that adds nothing."""
 
     def extend(
-        self, parts: Parts, application: Application
+        self, components: Components, application: Application
     ) -> tuple[Application, tuple[str, ...]]:
         """Return the entry's own application and address."""
-        return application, (parts.settings.listen,)
+        return application, (components.settings.listen,)
 
     async def run(self) -> None:
         """Do nothing."""
 
 
 async def serve(settings: Settings, extension: Extension | None = None) -> None:
-    """Compose the entry and run it until a signal."""
-    lines = journal.Journal(journal.Origin(settings.name, settings.data_centre))
+    """Assemble the entry and run it until a signal."""
+    event_log = journal.Journal(
+        journal.Origin(settings.name, settings.data_centre)
+    )
     metrics = metric.Exposition(
         metric.connect(settings.statsd, f'mulberrywalk.{settings.name}')
     )
     stop = anyio.Event()
     leader = upstream.Upstream(
         settings.replicas,
-        lines,
+        event_log,
         cost.Meter(),
-        current_ms=settings.current_ms,
+        configuration_max_age_ms=settings.configuration_max_age_ms,
     )
     sessions = session.Sessions(leader)
-    targets = connection.Connections(leader, sessions, lines)
-    interface = caller.Interface(leader, targets, lines, metrics)
-    extended = extension or NoExtension()
-    parts = Parts(settings, leader, sessions, interface, lines, metrics)
-    application, config = _extend(extended, parts)
+    targets = connection.Connections(leader, sessions, event_log)
+    api = http_api.HttpApi(leader, targets, event_log, metrics)
+    active_extension = extension or NoExtension()
+    components = Components(settings, leader, sessions, api, event_log, metrics)
+    application, config = _extend(active_extension, components)
     async with anyio.create_task_group() as group:
         group.start_soon(leader.run)
-        group.start_soon(sessions.pass_on_renewals)
-        group.start_soon(extended.run)
-        group.start_soon(_drain_on_signal, settings, interface, targets, stop)
+        group.start_soon(sessions.send_renewals)
+        group.start_soon(active_extension.run)
+        group.start_soon(_drain_on_signal, settings, api, targets, stop)
         group.start_soon(_serve_http, application, config, stop, group)
-        lines.record('entry running', settings.listen)
+        event_log.record('entry running', settings.listen)
 
 
 def _extend(
-    extension: Extension, parts: Parts
+    extension: Extension, components: Components
 ) -> tuple[Application, hypercorn_config.Config]:
     application, addresses = extension.extend(
-        parts, parts.interface.application()
+        components, components.api.application()
     )
-    return application, _server_config(parts.settings, addresses)
+    return application, _server_config(components.settings, addresses)
 
 
 async def _serve_http(
@@ -190,7 +193,7 @@
 ) -> hypercorn_config.Config:
     config = hypercorn_config.Config()
     config.bind = list(addresses)
-    config.keep_alive_timeout = settings.idle_s
+    config.keep_alive_timeout = settings.keep_alive_s
     config.accesslog = None
     config.errorlog = None
     config.graceful_timeout = 1.0
@@ -201,38 +204,38 @@
 
 async def _drain_on_signal(
     settings: Settings,
-    interface: caller.Interface,
+    api: http_api.HttpApi,
     targets: connection.Connections,
     stop: anyio.Event,
 ) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async with anyio.create_task_group() as group:
             async for _ in signals:
-                if interface.duty.is_draining:
+                if api.serving_state.is_draining:
                     stop.set()
                     return
-                interface.duty.is_draining = True
+                api.serving_state.is_draining = True
                 group.start_soon(
-                    _drain, settings, interface.duty, targets, stop
+                    _drain, settings, api.serving_state, targets, stop
                 )
 
 
 async def _drain(
     settings: Settings,
-    duty: caller.Duty,
+    serving_state: http_api.ServingState,
     targets: connection.Connections,
     stop: anyio.Event,
 ) -> None:
-    """Wait for the balancer to look away, then for requests to end."""
-    targets.stop_taking()
+    """Wait for the load balancer to stop sending, then for requests to end."""
+    targets.announce_stopping()
     await anyio.sleep(settings.notice_ms / _MS_PER_S)
-    targets.move_away()
+    targets.relocate()
     with anyio.move_on_after(settings.drain_limit_ms / _MS_PER_S):
-        quiet = 0
-        while quiet < _QUIET_POLLS:
-            await anyio.sleep(_POLL_S)
-            is_quiet = not (duty.in_progress or targets.count())
-            quiet = quiet + 1 if is_quiet else 0
+        idle_polls = 0
+        while idle_polls < _IDLE_POLLS_TO_STOP:
+            await anyio.sleep(_POLL_INTERVAL_S)
+            is_idle = not (serving_state.in_progress or targets.count())
+            idle_polls = idle_polls + 1 if is_idle else 0
     stop.set()
 
 
--- /dev/null
+++ b/mulberrywalk/entry/target_client.py
@@ -0,0 +1,176 @@
+"""The client interface for polled targets, and their leases."""
+
+from __future__ import annotations
+
+import abc
+import dataclasses
+import enum
+
+from ..core import identity, job
+from ..transport import wire
+
+# A target's clock may run slow by up to this many percent.
+_CLOCK_DRIFT_PERCENT = 2
+_FULL_PERCENT = 100
+
+
+class CallResult(enum.Enum):
+    """The result of a call to a target."""
+
+    DONE = 'done'
+    # The target has accepted calls from a later leader.
+    FENCED = 'fenced'
+    # The attempt or a later attempt of its task has ended or was stopped on
+    # the target, so the attempt cannot start there.
+    BARRED = 'barred'
+    # The lease in the call had expired when the call arrived.
+    LEASE_EXPIRED = 'late'
+    NO_CAPACITY = 'no_room'
+    NO_TICKET = 'no_ticket'
+    UNHEALTHY = 'unwell'
+    INVALID = 'invalid'
+    # The call was addressed to an incarnation of the target that is gone.
+    WRONG_INCARNATION = 'gone'
+    # No reply: the call may have taken effect or may still do so.
+    NO_REPLY = 'none'
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Destination:
+    """The identity and the host:port address of a target."""
+
+    target: identity.TargetId
+    address: str
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class RunningAttempt:
+    """A running attempt; gauge is its tail latency in milliseconds.
+
+    For a task that serves no requests, gauge is its CPU usage.
+    """
+
+    attempt: identity.AttemptId
+    checkpoint: str
+    gauge: int
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class EndedAttempt:
+    """An ended attempt; number is its position in the incarnation's ends."""
+
+    number: int
+    attempt: identity.AttemptId
+    reason: job.EndReason
+    checkpoint: str
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PollResult:
+    """The result of a poll; clock_ms is a reading of the target's clock.
+
+    born_at identifies the incarnation of the target.
+    """
+
+    clock_ms: int
+    born_at: int
+    running: tuple[RunningAttempt, ...]
+    ended: tuple[EndedAttempt, ...]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class PollRequest:
+    """The parameters of a poll.
+
+    lease_until_ms extends the lease to that time on the target's clock; None
+    leaves it unchanged. The target may discard ends up to the number
+    acknowledged. wait_ms is how long the target may delay its reply until an
+    attempt ends.
+    """
+
+    term: int
+    lease_until_ms: int | None
+    acknowledged: int
+    wait_ms: int
+
+
+class TargetClient(abc.ABC):
+    """A client of targets; each call has its own timeout."""
+
+    @abc.abstractmethod
+    async def poll(
+        self, destination: Destination, request: PollRequest
+    ) -> PollResult | CallResult:
+        """Poll a target; return its state, or why the poll failed."""
+
+    @abc.abstractmethod
+    async def start(
+        self,
+        destination: Destination,
+        command: wire.StartCommand,
+        lease_until_ms: int,
+        term: int,
+    ) -> CallResult:
+        """Start an attempt, with a lease that ends at lease_until_ms.
+
+        lease_until_ms is a time on the target's clock.
+        """
+
+    @abc.abstractmethod
+    async def stop(
+        self, destination: Destination, attempt: identity.AttemptId, term: int
+    ) -> CallResult:
+        """Stop an attempt, or bar it from starting if it has not started."""
+
+    @abc.abstractmethod
+    async def pace(
+        self,
+        destination: Destination,
+        attempt: identity.AttemptId,
+        percent: int,
+        term: int,
+    ) -> CallResult:
+        """Limit an attempt to a percentage of its full speed."""
+
+
+@dataclasses.dataclass(slots=True)
+class Lease:
+    """The lease under which a target runs its attempts.
+
+    clock_sample_ms is a reading of the target's clock, taken no later than
+    sampled_at on this entry's clock; granted_from is the time on this entry's
+    clock from which the leader counts the granted lease. Times are monotonic
+    milliseconds.
+    """
+
+    duration_ms: int
+    clock_sample_ms: int | None = None
+    sampled_at: int = 0
+    granted_from: int | None = None
+
+    def sample_clock(self, clock_ms: int, received_at: int) -> None:
+        """Record a reading of the target's clock, taken from a reply."""
+        self.clock_sample_ms = clock_ms
+        self.sampled_at = received_at
+
+    def expires_at(self) -> int | None:
+        """Return the lease end in ms on the target's clock, None if unknown.
+
+        The target's clock may run slow and its reply may have been delayed;
+        to allow for both, this is earlier than the expiry that the leader
+        assumes.
+        """
+        if self.clock_sample_ms is None or self.granted_from is None:
+            return None
+        remaining = self.granted_from + self.duration_ms - self.sampled_at
+        kept_percent = _FULL_PERCENT - _CLOCK_DRIFT_PERCENT
+        return (
+            self.clock_sample_ms
+            + max(0, remaining) * kept_percent // _FULL_PERCENT
+        )
+
+    def remaining_ms(self, now: int) -> int:
+        """Return the remaining time of the lease, zero if none is left."""
+        if self.clock_sample_ms is None or self.granted_from is None:
+            return 0
+        return max(0, self.granted_from + self.duration_ms - now)
--- a/mulberrywalk/telemetry/setting_test.py
+++ b/mulberrywalk/telemetry/setting_test.py
@@ -1,4 +1,4 @@
-"""Settings are checked together."""
+"""Tests the validation of settings."""
 
 import pytest
 import typer
@@ -6,14 +6,14 @@
 from . import setting
 
 
-def test_finish_reports_every_error(capsys):
+def test_exit_on_errors_reports_every_error(capsys):
     checker = setting.Checker()
     checker.name('--name', 'not a name')
     checker.address('--listen', 'nowhere')
     checker.number('--voters', '99', 1, 9)
     checker.addresses('--replicas', '')
     with pytest.raises(typer.Exit):
-        checker.finish()
+        checker.exit_on_errors()
     reported = capsys.readouterr().err.splitlines()
     assert [line.split(':')[0] for line in reported] == [
         '--name',
@@ -28,4 +28,4 @@
     assert checker.address('--listen', '127.0.0.1:80') == '127.0.0.1:80'
     assert checker.optional_address('--statsd', '') == ''
     assert checker.number('--voters', '3', 1, 9) == 3
-    checker.finish()
+    checker.exit_on_errors()
